--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -147,8 +147,8 @@
 	d.registry = discovery.NewRegistry(d.settings.Daemon.ID, d.logger)
 	d.follower = generation.NewFollower(generation.Values(d.objects), d.logger, d.metrics, d.registry, d.limiter)
 	d.quarantine = watch.New(watch.Options{
-		Round:  func(time.Time) time.Duration { return peer.EarlyRound },
-		Soon:   func() { d.mesh.Soon() },
+		Round:  func(time.Time) time.Duration { return peer.TriggeredHeartbeatDelay },
+		Soon:   func() { d.mesh.TriggerHeartbeats() },
 		Logger: d.logger,
 	})
 	d.mesh = peer.NewMesh(peer.Options{
@@ -173,7 +173,7 @@
 		Burn:        d.burn,
 		Quarantine:  d.quarantine,
 		Dial:        options.Network.Dial,
-		Advised:     func() { d.mesh.Soon() },
+		Advised:     func() { d.mesh.TriggerHeartbeats() },
 		Logger:      d.logger,
 		Registerer:  d.metrics,
 		OnViolation: options.OnViolation,
@@ -184,7 +184,7 @@
 			d.keys.Ended(spec, spec.ID, answer, failure)
 		},
 	})
-	d.mesh.SetHeir(d.dispatcher)
+	d.mesh.SetAdopter(d.dispatcher)
 	d.keys = keys.NewManager(keys.Options{
 		Self:       keys.Holder{Daemon: d.settings.Daemon.ID, Incarnation: d.mesh.Incarnation()},
 		Zone:       d.settings.Daemon.Zone,
@@ -220,7 +220,7 @@
 		ReadTimeout:       d.settings.Limits.ReadTimeout.Std(),
 		ErrorLog:          slog.NewLogLogger(d.logger.Handler(), slog.LevelDebug),
 	}
-	d.peerServer = grpc.NewServer(grpc.Creds(d.creds.Server), grpc.MaxRecvMsgSize(peer.MaxMessage))
+	d.peerServer = grpc.NewServer(grpc.Creds(d.creds.Server), grpc.MaxRecvMsgSize(peer.MaxMessageBytes))
 	peerpb.RegisterPeerServer(d.peerServer, peer.NewServer(d.mesh, d.dispatcher, d.follower, d.burn, d.keys))
 	operators := operatorapi.New(operatorapi.Options{
 		Token:     operatorToken,
--- a/internal/discovery/sharing.go
+++ b/internal/discovery/sharing.go
@@ -87,7 +87,7 @@
 	}
 	wanted := minSenders + int(math.Min(float64(len(pool)), sendersEach*s.limit.Rate))
 	var senders []sender
-	for _, vm := range vmlist.Ranked(s.vm.ID, vms) {
+	for _, vm := range vmlist.RendezvousOrder(s.vm.ID, vms) {
 		if len(senders) >= wanted && totalDemand(senders) >= s.limit.Rate {
 			break
 		}
--- a/internal/dispatch/replicate.go
+++ b/internal/dispatch/replicate.go
@@ -226,9 +226,9 @@
 	return err
 }
 
-// Bury records that a request's owner is dead and that the request may have
+// RecordLost records that a request's owner is dead and that the request may have
 // run.
-func (d *Dispatcher) Bury(spec request.Spec) {
+func (d *Dispatcher) RecordLost(spec request.Spec) {
 	d.Hold(spec, nil, Event{Failure: &request.Failure{
 		Outcome: request.OutcomeUnknown, Detail: "the daemon that sent the request is gone", Status: http.StatusGatewayTimeout,
 	}})
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -91,11 +91,11 @@
 	// Soon spreads a change of the holder.
 	Soon func()
 	// Remember returns what is written beside each renewal, in place of what stands there.
-	Remember func(standing lease.Memory) lease.Memory
+	Remember func(standing lease.Snapshot) lease.Snapshot
 	// Now is the clock of the lease; nil is one that goes on while the VM is suspended.
 	Now func() time.Time
 	// Learn takes over what a record that was read says.
-	Learn func(lease.Memory)
+	Learn func(lease.Snapshot)
 }
 
 // Holder keeps the lease for one daemon.
@@ -103,7 +103,7 @@
 	options Options
 
 	mu     sync.Mutex
-	keeper *lease.Keeper
+	keeper *lease.Tracker
 	// writing is full while a write of the record is under way. It is no mutex, so
 	// that who waits for it can give up.
 	writing chan struct{}
@@ -128,8 +128,8 @@
 	if options.Now == nil {
 		options.Now = steady.Now
 	}
-	keeper := lease.NewKeeper(options.Self, options.Incarnation, options.Duration)
-	keeper.ListensAt(options.Address)
+	keeper := lease.NewTracker(options.Self, options.Incarnation, options.Duration)
+	keeper.SetAddress(options.Address)
 	return &Holder{options: options, keeper: keeper, writing: make(chan struct{}, 1)}
 }
 
@@ -233,10 +233,10 @@
 
 // Recall returns what the last holder knew. Where nobody has ever held the lease it is
 // nothing.
-func (h *Holder) Recall(ctx context.Context) (lease.Memory, error) {
+func (h *Holder) Recall(ctx context.Context) (lease.Snapshot, error) {
 	record, err := h.observe(ctx)
-	h.note(func() { h.again = err == nil && h.keeper.Succeeds(record) })
-	return record.Memory, err
+	h.note(func() { h.again = err == nil && h.keeper.ReplacesHolder(record) })
+	return record.Snapshot, err
 }
 
 // read takes over the record as it is in the store.
@@ -265,7 +265,7 @@
 	}
 	h.note(func() { h.keeper.Observe(object.Revision, record, h.options.Now()) })
 	if h.options.Learn != nil {
-		h.options.Learn(record.Memory)
+		h.options.Learn(record.Snapshot)
 	}
 	return record, nil
 }
@@ -297,7 +297,7 @@
 	next := h.keeper.Renewal()
 	h.mu.Unlock()
 	if h.options.Remember != nil {
-		next.Memory = h.options.Remember(next.Memory)
+		next.Snapshot = h.options.Remember(next.Snapshot)
 	}
 	if edit != nil {
 		edit(&next)
@@ -316,7 +316,7 @@
 func (h *Holder) write(ctx context.Context, record lease.Record) bool {
 	h.mu.Lock()
 	revision := h.keeper.Revision()
-	h.keeper.Begin(record, h.options.Now())
+	h.keeper.BeginWrite(record, h.options.Now())
 	h.mu.Unlock()
 	var object store.Object
 	var err error
@@ -335,7 +335,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.keeper.Written(object.Revision, h.options.Now())
+	h.keeper.WriteSucceeded(object.Revision, h.options.Now())
 	return true
 }
 
@@ -345,7 +345,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if fence, _ := h.keeper.Holds(h.options.Now()); fence == right.Fence {
-		h.keeper.Refused()
+		h.keeper.Superseded()
 	}
 }
 
@@ -380,12 +380,12 @@
 	}
 	ok := h.renew(ctx, func(r *lease.Record) {
 		reports := map[int64]usage.Counts{window: counts}
-		for id, c := range r.Reports {
+		for id, c := range r.UsageReports {
 			if id > window-keptReports {
 				reports[id] = c
 			}
 		}
-		r.Reports = reports
+		r.UsageReports = reports
 	})
 	return counts, ok
 }
@@ -397,6 +397,6 @@
 func (h *Holder) report(window int64) (usage.Counts, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	counts, ok := h.keeper.Reports()[window]
+	counts, ok := h.keeper.UsageReports()[window]
 	return counts, ok
 }
--- a/internal/generation/errors.go
+++ b/internal/generation/errors.go
@@ -13,8 +13,8 @@
 	ErrMissingPart = errors.New("part of the deployment is missing")
 	// ErrUnknownPart means that a newer version wrote the manifest.
 	ErrUnknownPart = errors.New("part of the deployment is not known to this version")
-	// ErrNone means that no deployment has been applied yet.
-	ErrNone = errors.New("no deployment has been applied")
+	// ErrNoDeployment means that no deployment has been applied yet.
+	ErrNoDeployment = errors.New("no deployment has been applied")
 )
 
 // ConflictError tells which generation an apply was based on and which one it
--- a/internal/generation/follower.go
+++ b/internal/generation/follower.go
@@ -41,17 +41,17 @@
 
 // Follower keeps the generation in force at this daemon.
 type Follower struct {
-	logger      *slog.Logger
-	store       store.Values
-	subscribers []Subscriber
-	gauge       prometheus.Gauge
+	logger          *slog.Logger
+	store           store.Values
+	subscribers     []Subscriber
+	generationGauge prometheus.Gauge
 
-	mu       sync.Mutex
-	manifest *Manifest
-	raw      []byte
-	contents map[string][]byte
-	index    *config.Index
-	changed  chan struct{}
+	mu          sync.Mutex
+	manifest    *Manifest
+	rawManifest []byte
+	contents    map[string][]byte
+	index       *config.Index
+	changed     chan struct{}
 }
 
 // NewFollower returns a follower without a generation.
@@ -61,13 +61,13 @@
 	})
 	registerer.MustRegister(gauge)
 	return &Follower{
-		logger:      logger,
-		store:       store,
-		subscribers: subscribers,
-		gauge:       gauge,
-		manifest:    &Manifest{},
-		contents:    map[string][]byte{},
-		changed:     make(chan struct{}),
+		logger:          logger,
+		store:           store,
+		subscribers:     subscribers,
+		generationGauge: gauge,
+		manifest:        &Manifest{},
+		contents:        map[string][]byte{},
+		changed:         make(chan struct{}),
 	}
 }
 
@@ -101,17 +101,17 @@
 			continue
 		}
 		if err == nil {
-			err = f.fromStore(ctx, object.Data)
+			err = f.applyFromStore(ctx, object.Data)
 		}
 		if err != nil {
-			f.pause(ctx, err)
+			f.waitAfterError(ctx, err)
 			continue
 		}
 		version = object.Version
 	}
 }
 
-func (f *Follower) pause(ctx context.Context, err error) {
+func (f *Follower) waitAfterError(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -122,8 +122,8 @@
 	}
 }
 
-// fromStore takes over a manifest read from the store.
-func (f *Follower) fromStore(ctx context.Context, raw []byte) error {
+// applyFromStore takes over a manifest read from the store.
+func (f *Follower) applyFromStore(ctx context.Context, raw []byte) error {
 	manifest, err := decodeManifest(raw)
 	if err != nil {
 		return err
@@ -135,12 +135,12 @@
 	if err := fetchParts(ctx, f.store, manifest, contents); err != nil {
 		return err
 	}
-	return f.take(manifest, raw, contents)
+	return f.apply(manifest, raw, contents)
 }
 
-// FromPeer takes over the deployment of a peer that reports a higher
+// ApplyFromPeer takes over the deployment of a peer that reports a higher
 // generation.
-func (f *Follower) FromPeer(ctx context.Context, generation int64, fetch Fetcher) error {
+func (f *Follower) ApplyFromPeer(ctx context.Context, generation int64, fetch Fetcher) error {
 	if generation <= f.Generation() {
 		return nil
 	}
@@ -163,7 +163,7 @@
 		}
 		contents[digest] = content
 	}
-	return f.take(manifest, bundle.Manifest, contents)
+	return f.apply(manifest, bundle.Manifest, contents)
 }
 
 func (f *Follower) knownContents() map[string][]byte {
@@ -176,9 +176,9 @@
 	return contents
 }
 
-// take puts a generation in force. A generation that is not higher than the
+// apply puts a generation in force. A generation that is not higher than the
 // present one is left alone: another way may have brought a newer one first.
-func (f *Follower) take(manifest *Manifest, raw []byte, contents map[string][]byte) error {
+func (f *Follower) apply(manifest *Manifest, raw []byte, contents map[string][]byte) error {
 	d, err := assemble(manifest, contents)
 	if err != nil {
 		return err
@@ -189,7 +189,7 @@
 	if manifest.Generation <= f.manifest.Generation {
 		return nil
 	}
-	f.manifest, f.raw, f.index = manifest, raw, index
+	f.manifest, f.rawManifest, f.index = manifest, raw, index
 	f.contents = map[string][]byte{}
 	for _, ref := range manifest.Parts {
 		f.contents[ref.Digest] = contents[ref.Digest]
@@ -197,7 +197,7 @@
 	for _, subscriber := range f.subscribers {
 		subscriber.ApplyConfig(index)
 	}
-	f.gauge.Set(float64(manifest.Generation))
+	f.generationGauge.Set(float64(manifest.Generation))
 	f.logger.Info("deployment in force", "generation", manifest.Generation, "apply_id", manifest.ApplyID)
 	close(f.changed)
 	f.changed = make(chan struct{})
@@ -210,9 +210,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.index == nil {
-		return Bundle{}, ErrNone
+		return Bundle{}, ErrNoDeployment
 	}
-	bundle := Bundle{Manifest: f.raw, Contents: map[string][]byte{}}
+	bundle := Bundle{Manifest: f.rawManifest, Contents: map[string][]byte{}}
 	for digest, content := range f.contents {
 		bundle.Contents[digest] = content
 	}
@@ -227,7 +227,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.index == nil {
-		return nil, ErrNone
+		return nil, ErrNoDeployment
 	}
 	return json.Marshal(Document{Generation: f.manifest.Generation, Deployment: f.index.Deployment})
 }
--- a/internal/generation/generation_test.go
+++ b/internal/generation/generation_test.go
@@ -38,7 +38,7 @@
 	})
 }
 
-func sample(c *qt.C) *config.Deployment {
+func sampleDeployment(c *qt.C) *config.Deployment {
 	files, err := examples.Files("ndiaye")
 	c.Assert(err, qt.IsNil)
 	d, err := config.Load(files)
@@ -48,7 +48,7 @@
 
 func TestTwoOperatorsAtOnce(t *testing.T) {
 	withStore(t, func(c *qt.C, _ *fake.Store, client store.Values) {
-		d := sample(c)
+		d := sampleDeployment(c)
 		ctx := context.Background()
 		results := make(chan error, 2)
 		for _, id := range []string{"one", "two"} {
@@ -71,13 +71,13 @@
 	for lost := range 8 {
 		withStore(t, func(c *qt.C, objects *fake.Store, client store.Values) {
 			objects.LoseWrite(lost)
-			manifest, err := NewPublisher(client).Apply(context.Background(), sample(c), 0, "one")
+			manifest, err := NewPublisher(client).Apply(context.Background(), sampleDeployment(c), 0, "one")
 			c.Assert(err, qt.IsNil)
 			c.Check(manifest.Generation, qt.Equals, int64(1))
-			again, err := NewPublisher(client).Apply(context.Background(), sample(c), 0, "one")
+			again, err := NewPublisher(client).Apply(context.Background(), sampleDeployment(c), 0, "one")
 			c.Assert(err, qt.IsNil)
 			c.Check(again.Generation, qt.Equals, int64(1))
-			_, err = NewPublisher(client).Apply(context.Background(), sample(c), 0, "two")
+			_, err = NewPublisher(client).Apply(context.Background(), sampleDeployment(c), 0, "two")
 			c.Check(err, qt.ErrorMatches, ".*based on generation 0, current generation is 1")
 		})
 	}
@@ -93,7 +93,7 @@
 			defer close(done)
 			f.Run(ctx)
 		}()
-		d := sample(c)
+		d := sampleDeployment(c)
 		for generation := range int64(3) {
 			changed := f.Changed()
 			d.Workspaces[0].Weight++
@@ -107,15 +107,15 @@
 		objects.Faults.Set(faults.State{Outage: true})
 		late := NewFollower(client, slog.New(slog.DiscardHandler), prometheus.NewRegistry())
 		fetch := func(context.Context, []string) (Bundle, error) { return bundle, nil }
-		c.Assert(late.FromPeer(ctx, 3, fetch), qt.IsNil)
+		c.Assert(late.ApplyFromPeer(ctx, 3, fetch), qt.IsNil)
 		c.Check(late.Generation(), qt.Equals, int64(3))
 		c.Check(late.Index().Deployment.Workspaces[0].Weight, qt.Equals, d.Workspaces[0].Weight)
 
 		bundle.Manifest = []byte(`{"generation":2,"apply_id":"old","parts":[]}`)
-		c.Assert(late.FromPeer(ctx, 4, fetch), qt.IsNil)
+		c.Assert(late.ApplyFromPeer(ctx, 4, fetch), qt.IsNil)
 		c.Check(late.Generation(), qt.Equals, int64(3))
 		bundle.Manifest = []byte(`{"generation":9,"apply_id":"x","parts":[{"name":"zones","digest":"00"}]}`)
-		c.Check(errors.Is(late.FromPeer(ctx, 9, fetch), ErrMissingPart), qt.IsTrue)
+		c.Check(errors.Is(late.ApplyFromPeer(ctx, 9, fetch), ErrMissingPart), qt.IsTrue)
 		c.Check(late.Generation(), qt.Equals, int64(3))
 		cancel()
 		<-done
--- a/internal/generation/manifest.go
+++ b/internal/generation/manifest.go
@@ -20,11 +20,11 @@
 	"github.com/plankridge/plankridge/internal/store"
 )
 
-// kind is the kind of object that generations are kept in.
-const kind = "plankridge-generations"
+// objectKind is the kind of object that generations are kept in.
+const objectKind = "plankridge-generations"
 
 // Values returns the part of the store that generations are kept in.
-func Values(objects store.Store) store.Values { return store.NewValues(objects, kind) }
+func Values(objects store.Store) store.Values { return store.NewValues(objects, objectKind) }
 
 // Keys in the store.
 const (
@@ -62,8 +62,8 @@
 	Routes  []config.Route `json:"routes"`
 }
 
-// split cuts a deployment into parts and returns their contents by digest.
-func split(d *config.Deployment) ([]PartRef, map[string][]byte, error) {
+// splitParts cuts a deployment into parts and returns their contents by digest.
+func splitParts(d *config.Deployment) ([]PartRef, map[string][]byte, error) {
 	var refs []PartRef
 	contents := map[string][]byte{}
 	add := func(name string, value any) error {
--- a/internal/generation/publisher.go
+++ b/internal/generation/publisher.go
@@ -22,36 +22,36 @@
 	return &Publisher{store: store}
 }
 
-// settleDelay is the pause between two tries to learn whether a write whose
+// confirmDelay is the pause between two tries to learn whether a write whose
 // answer was lost has taken effect.
-const settleDelay = 200 * time.Millisecond
+const confirmDelay = 200 * time.Millisecond
 
 // Apply makes the deployment the next generation if the current one is still
 // basedOn. It returns a *ConflictError otherwise. Repeating an apply with the
 // same ID is harmless and returns the manifest that it made.
 func (p *Publisher) Apply(ctx context.Context, d *config.Deployment, basedOn int64, applyID string) (*Manifest, error) {
-	refs, contents, err := split(d)
+	refs, contents, err := splitParts(d)
 	if err != nil {
 		return nil, err
 	}
 	for {
-		manifest, retry, err := p.try(ctx, refs, contents, basedOn, applyID)
+		manifest, retry, err := p.tryApply(ctx, refs, contents, basedOn, applyID)
 		if !retry {
 			return manifest, err
 		}
 		select {
-		case <-time.After(settleDelay):
+		case <-time.After(confirmDelay):
 		case <-ctx.Done():
 			return nil, eris.Wrap(err, "apply is not settled")
 		}
 	}
 }
 
-// try makes one attempt. retry is true when its effect is not known, so that
+// tryApply makes one attempt. retry is true when its effect is not known, so that
 // the manifest has to be read again.
-func (p *Publisher) try(ctx context.Context, refs []PartRef, contents map[string][]byte, basedOn int64, applyID string) (*Manifest, bool, error) {
+func (p *Publisher) tryApply(ctx context.Context, refs []PartRef, contents map[string][]byte, basedOn int64, applyID string) (*Manifest, bool, error) {
 	current, version, err := readManifest(ctx, p.store)
-	if err != nil && !errors.Is(err, ErrNone) {
+	if err != nil && !errors.Is(err, ErrNoDeployment) {
 		return nil, errors.Is(err, store.ErrUnknown), err
 	}
 	if current.ApplyID == applyID {
@@ -97,11 +97,11 @@
 }
 
 // readManifest returns the manifest and its version. Without one it returns an
-// empty manifest, version zero and ErrNone.
+// empty manifest, version zero and ErrNoDeployment.
 func readManifest(ctx context.Context, values store.Values) (*Manifest, int64, error) {
 	object, err := values.Get(ctx, manifestKey)
 	if errors.Is(err, store.ErrNotFound) {
-		return &Manifest{}, 0, ErrNone
+		return &Manifest{}, 0, ErrNoDeployment
 	}
 	if err != nil {
 		return nil, 0, err
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -24,75 +24,75 @@
 )
 
 const (
-	// shortest and longest bound the time between two reports, and eachDaemon adds
+	// minReportInterval and longest bound the time between two reports, and reportIntervalPerDaemon adds
 	// to it for every daemon of the deployment. What a daemon knows of its zone is
 	// behind by that time and of other zones by twice that, at most. A few daemons
 	// spend allowances in large steps and have to hear of each other sooner; many
 	// would spend too much on it.
-	shortest   = 150 * time.Millisecond
-	longest    = 400 * time.Millisecond
-	eachDaemon = 5 * time.Millisecond
-	// Ahead is how much earlier than the lead's next digest a daemon reports, so
+	minReportInterval       = 150 * time.Millisecond
+	maxReportInterval       = 400 * time.Millisecond
+	reportIntervalPerDaemon = 5 * time.Millisecond
+	// ReportLeadTime is how much earlier than the lead's next digest a daemon reports, so
 	// that the digest holds what is new: links within a zone take some ms, and a
 	// daemon's timer may fire late.
-	Ahead = 40 * time.Millisecond
-	// soonest is the least time between two sends.
-	soonest = 50 * time.Millisecond
-	// namesEvery is how often, in reports, the known daemons are named.
-	namesEvery = 8
-	// namedFar is the number of daemons of a zone that a lead names to other zones.
-	namedFar = 4
-	// maxDatagram bounds a report, in bytes.
-	maxDatagram = 60 << 10
+	ReportLeadTime = 40 * time.Millisecond
+	// minSendInterval is the least time between two sends.
+	minSendInterval = 50 * time.Millisecond
+	// reportsPerMemberList is how often, in reports, the known daemons are named.
+	reportsPerMemberList = 8
+	// maxListedPerRemoteZone is the number of daemons of a zone that a lead names to other zones.
+	maxListedPerRemoteZone = 4
+	// maxDatagramBytes bounds a report, in bytes.
+	maxDatagramBytes = 60 << 10
 	// pullTimeout bounds a call to a peer: a configuration of 1,900 routes takes
 	// some 100 ms on a link of 10 Mbit/s that carries other answers too.
 	pullTimeout = 2 * time.Second
-	// mostPulls bounds the calls at once. A relay hears from all daemons of its zone
+	// maxConcurrentPulls bounds the calls at once. A relay hears from all daemons of its zone
 	// that they have something newer; were it to ask all, their answers would choke
 	// its link. A second call goes on when the first peer does not answer.
-	mostPulls = 2
-	// slowPull is how long a call counts among those. Peers that have lost power answer nothing
+	maxConcurrentPulls = 2
+	// slowPullAfter is how long a call counts among those. Peers that have lost power answer nothing
 	// until pullTimeout, and others may tell what they would have.
-	slowPull = 300 * time.Millisecond
+	slowPullAfter = 300 * time.Millisecond
 )
 
 // Source fills in what the daemon tells.
 type Source interface {
-	// Report fills in what the daemon believes.
-	Report(status *gossippb.Status)
-	// Own returns what the daemon itself has used, as of a sequence.
-	Own(sequence uint64) *gossippb.Counts
-	// All returns what a lead tells the daemons of its zone.
-	All(now time.Time) (*gossippb.Reach, *gossippb.Counts)
-	// Uses returns what the workspaces have used lately, for daemons that start.
-	Uses() *gossippb.Uses
+	// FillStatus fills in what the daemon believes.
+	FillStatus(status *gossippb.Status)
+	// OwnCounts returns what the daemon itself has used, as of a sequence.
+	OwnCounts(sequence uint64) *gossippb.Counts
+	// DeploymentTotals returns what a lead tells the daemons of its zone.
+	DeploymentTotals(now time.Time) (*gossippb.Reach, *gossippb.Counts)
+	// RecentUses returns what the workspaces have used lately, for daemons that start.
+	RecentUses() *gossippb.Uses
 	// Windows returns the counts by window over everything, for the holder of the
 	// lease.
 	Windows() []*gossippb.Window
-	// Taken returns the highest sequence of a peer that All includes.
-	Taken(vm string) uint64
-	// Zone returns what a lead tells the relays of other zones.
-	Zone(now time.Time) (*gossippb.Reach, *gossippb.Counts)
-	// Condition returns what the daemon knows of itself.
-	Condition() Condition
-	// Request returns what this daemon has, to ask a peer for what is newer.
-	Request() *gossippb.PullRequest
-	// Pull returns what is newer than a peer's versions.
-	Pull(request *gossippb.PullRequest) *gossippb.PullReply
+	// IncludedSequence returns the highest sequence of a peer that All includes.
+	IncludedSequence(vm string) uint64
+	// ZoneTotals returns what a lead tells the relays of other zones.
+	ZoneTotals(now time.Time) (*gossippb.Reach, *gossippb.Counts)
+	// LocalState returns what the daemon knows of itself.
+	LocalState() LocalState
+	// PullRequest returns what this daemon has, to ask a peer for what is newer.
+	PullRequest() *gossippb.PullRequest
+	// AnswerPull returns what is newer than a peer's versions.
+	AnswerPull(request *gossippb.PullRequest) *gossippb.PullReply
 }
 
 // Sink takes over what peers tell.
 type Sink interface {
-	// Heard takes over a peer's report. unknown is set for the first report of a
+	// HandleReport takes over a peer's report. unknown is set for the first report of a
 	// process.
-	Heard(status *gossippb.Status, unknown bool)
-	// Lacks reports whether a pull from the peer would bring something newer.
-	Lacks(status *gossippb.Status) bool
-	// Pulled takes over what a pull has brought. It reports whether the peer has to be asked
+	HandleReport(status *gossippb.Status, unknown bool)
+	// NeedsPull reports whether a pull from the peer would bring something newer.
+	NeedsPull(status *gossippb.Status) bool
+	// HandlePullReply takes over what a pull has brought. It reports whether the peer has to be asked
 	// again at once, for all that it has.
-	Pulled(reply *gossippb.PullReply) (again bool)
-	// Noticed takes over what a peer has just sent to a server.
-	Noticed(load *gossippb.Load)
+	HandlePullReply(reply *gossippb.PullReply) (again bool)
+	// HandleNotice takes over what a peer has just sent to a server.
+	HandleNotice(load *gossippb.Load)
 }
 
 // Options are what a Node works with.
@@ -114,17 +114,17 @@
 	options Options
 	packets net.PacketConn
 	server  *grpc.Server
-	// soon asks for the next report at once, align for one ahead of the lead's.
-	soon  chan struct{}
-	align chan struct{}
+	// trigger asks for the next report at once, align for one ahead of the lead's.
+	trigger       chan struct{}
+	alignToLeader chan struct{}
 
-	// notices bounds how often others are told at once.
-	notices *rate.Limiter
+	// noticeLimiter bounds how often others are told at once.
+	noticeLimiter *rate.Limiter
 
 	mu       sync.Mutex
 	sequence uint64
-	// pulling are the peers that are being asked, by address.
-	pulling map[string]*pulling
+	// pulls are the peers that are being asked, by address.
+	pulls map[string]*pullState
 }
 
 // Listen opens the node's UDP and TCP ports.
@@ -138,7 +138,7 @@
 		_ = packets.Close()
 		return nil, nil, eris.Wrap(err, "listen for calls of peers")
 	}
-	n := &Node{options: options, packets: packets, server: grpc.NewServer(), soon: make(chan struct{}, 1), align: make(chan struct{}, 1), notices: newNoticeRate(), pulling: map[string]*pulling{}}
+	n := &Node{options: options, packets: packets, server: grpc.NewServer(), trigger: make(chan struct{}, 1), alignToLeader: make(chan struct{}, 1), noticeLimiter: newNoticeLimiter(), pulls: map[string]*pullState{}}
 	gossippb.RegisterPeersServer(n.server, n)
 	return n, listener, nil
 }
@@ -146,25 +146,25 @@
 // Run takes part until the context ends.
 func (n *Node) Run(ctx context.Context, listener net.Listener) {
 	var running sync.WaitGroup
-	running.Go(func() { n.receive(ctx) })
+	running.Go(func() { n.receiveLoop(ctx) })
 	running.Go(func() { _ = n.server.Serve(listener) })
-	n.send(ctx)
+	n.sendLoop(ctx)
 	_ = n.packets.Close()
 	n.server.Stop()
 	running.Wait()
 }
 
-// Soon sends the next report at once.
-func (n *Node) Soon() { signal(n.soon) }
+// TriggerReport sends the next report at once.
+func (n *Node) TriggerReport() { notify(n.trigger) }
 
-func signal(channel chan struct{}) {
+func notify(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
 	default:
 	}
 }
 
-func (n *Node) send(ctx context.Context) {
+func (n *Node) sendLoop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var sent time.Time
@@ -172,38 +172,38 @@
 	for {
 		select {
 		case <-timer.C:
-			n.sendOnce()
+			n.sendRound()
 			sent, hurry = time.Now(), false
-			timer.Reset(n.Round(sent))
-		case <-n.soon:
+			timer.Reset(n.ReportInterval(sent))
+		case <-n.trigger:
 			hurry = true
-			timer.Reset(max(0, soonest-time.Since(sent)))
-		case <-n.align:
+			timer.Reset(max(0, minSendInterval-time.Since(sent)))
+		case <-n.alignToLeader:
 			if !hurry {
-				timer.Reset(n.Round(time.Now()) - Ahead)
+				timer.Reset(n.ReportInterval(time.Now()) - ReportLeadTime)
 			}
 		case <-ctx.Done():
 			// What was counted last.
-			n.sendOnce()
+			n.sendRound()
 			return
 		}
 	}
 }
 
-// Round returns the time between two reports.
-func (n *Node) Round(now time.Time) time.Duration {
+// ReportInterval returns the time between two reports.
+func (n *Node) ReportInterval(now time.Time) time.Duration {
 	daemons := 1 + len(n.options.Members.Known(now))
-	return min(longest, max(shortest, time.Duration(daemons)*eachDaemon))
+	return min(maxReportInterval, max(minReportInterval, time.Duration(daemons)*reportIntervalPerDaemon))
 }
 
-func (n *Node) receive(ctx context.Context) {
-	buffer := make([]byte, maxDatagram)
+func (n *Node) receiveLoop(ctx context.Context) {
+	buffer := make([]byte, maxDatagramBytes)
 	for ctx.Err() == nil {
 		size, _, err := n.packets.ReadFrom(buffer)
 		if err != nil {
 			if ctx.Err() == nil {
 				n.options.Logger.Warn("datagrams cannot be read", "error", err)
-				time.Sleep(longest)
+				time.Sleep(maxReportInterval)
 			}
 			continue
 		}
@@ -212,12 +212,12 @@
 			n.options.Logger.Warn("datagram cannot be decoded", "error", err, "bytes", size)
 			continue
 		}
-		n.take(ctx, &status)
+		n.handleStatus(ctx, &status)
 	}
 }
 
-// countingOf returns for how long the sender has counted what the workspaces use.
-func countingOf(status *gossippb.Status) time.Duration {
+// countingDuration returns for how long the sender has counted what the workspaces use.
+func countingDuration(status *gossippb.Status) time.Duration {
 	ms := status.GetCountingMs()
 	if ms == 0 {
 		ms = status.GetUptimeMs()
@@ -225,20 +225,20 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// take handles a peer's report.
-func (n *Node) take(ctx context.Context, status *gossippb.Status) {
+// handleStatus handles a peer's report.
+func (n *Node) handleStatus(ctx context.Context, status *gossippb.Status) {
 	if status.GetVm() == n.options.VM || status.GetVm() == "" {
 		return
 	}
 	if load := status.GetNotice(); load != nil {
-		n.options.Sink.Noticed(load)
+		n.options.Sink.HandleNotice(load)
 		return
 	}
 	now := time.Now()
-	fresh, unknown := n.options.Members.hear(Peer{
+	fresh, unknown := n.options.Members.recordReport(Peer{
 		VM: status.GetVm(), Zone: status.GetZone(), Address: status.GetAddress(), Incarnation: status.GetIncarnation(),
 		ConfigVersion: status.GetConfigVersion(), ServersRevision: status.GetServersRevision(),
-		Counting: countingOf(status), Fence: status.GetFence(), Draining: status.GetDraining(), StoreFailing: status.GetStoreFailing(), Follows: status.GetFollows(),
+		CountingFor: countingDuration(status), Fence: status.GetFence(), Draining: status.GetDraining(), StoreFailing: status.GetStoreFailing(), FollowsStore: status.GetFollows(),
 	}, status.GetSequence(), now)
 	if !fresh {
 		return
@@ -249,25 +249,25 @@
 	if unknown {
 		n.options.Logger.Info("peer heard", "peer", status.GetVm(), "incarnation", status.GetIncarnation(), "config_version", status.GetConfigVersion())
 	}
-	n.options.Sink.Heard(status, unknown)
+	n.options.Sink.HandleReport(status, unknown)
 	if status.GetOwn() != nil {
-		n.pointOn(status, now)
+		n.redirectReporter(status, now)
 	}
 	if status.GetAll() != nil {
-		signal(n.align)
+		notify(n.alignToLeader)
 	}
 	if unknown {
-		n.Soon()
+		n.TriggerReport()
 	}
-	if n.options.Sink.Lacks(status) && n.beginPull(status.GetAddress(), now) {
+	if n.options.Sink.NeedsPull(status) && n.beginPull(status.GetAddress(), now) {
 		go n.pull(ctx, status.GetAddress())
 	}
 }
 
-// pointOn answers a report that should have gone to another daemon with the names
+// redirectReporter answers a report that should have gone to another daemon with the names
 // of those it should go to.
-func (n *Node) pointOn(status *gossippb.Status, now time.Time) {
-	plan := n.options.Members.Plan(n.options.Source.Condition(), now)
+func (n *Node) redirectReporter(status *gossippb.Status, now time.Time) {
+	plan := n.options.Members.Plan(n.options.Source.LocalState(), now)
 	if plan.Relay && status.GetZone() == n.options.Zone {
 		return
 	}
@@ -275,9 +275,9 @@
 	n.sequence++
 	sequence := n.sequence
 	n.mu.Unlock()
-	answer := n.status(sequence)
-	for _, p := range n.options.Members.first(status.GetZone(), now) {
+	answer := n.newStatus(sequence)
+	for _, p := range n.options.Members.relayCandidates(status.GetZone(), now) {
 		answer.Known = append(answer.Known, &gossippb.Peer{Vm: p.VM, Zone: p.Zone, Address: p.Address})
 	}
-	n.write(answer, status.GetAddress())
+	n.sendTo(answer, status.GetAddress())
 }
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// silentAfter is how long a peer may be unheard before it counts as not
+	// unreachableAfter is how long a peer may be unheard before it counts as not
 	// reached: three reports and the delay of a slow link.
-	silentAfter = 1500 * time.Millisecond
-	// tellUsesFor is how long a daemon is told what was used before it began to count: seven
+	unreachableAfter = 1500 * time.Millisecond
+	// sendUsesFor is how long a daemon is told what was used before it began to count: seven
 	// reports of a large deployment.
-	tellUsesFor = 3 * time.Second
+	sendUsesFor = 3 * time.Second
 	// forgetAfter is how long a silent peer still counts as a daemon of the
 	// deployment. Until then its part of shared limits stays unused.
 	forgetAfter = 30 * time.Second
@@ -28,9 +28,9 @@
 	Address string
 	// Incarnation identifies the peer's process.
 	Incarnation uint64
-	// Counting is for how long what the workspaces use had been counted at the peer's last
+	// CountingFor is for how long what the workspaces use had been counted at the peer's last
 	// report, without a gap.
-	Counting time.Duration
+	CountingFor time.Duration
 	// ConfigVersion and ServersRevision are what the peer believes.
 	ConfigVersion   int64
 	ServersRevision int64
@@ -39,20 +39,20 @@
 	Draining bool
 	// StoreFailing is set while the store does not answer the peer.
 	StoreFailing bool
-	// Follows is set while the peer follows the store for its zone.
-	Follows bool
-	// HeardAt is when the peer's last datagram came; NamedAt is when this daemon
+	// FollowsStore is set while the peer follows the store for its zone.
+	FollowsStore bool
+	// LastHeardAt is when the peer's last datagram came; LastLearnedAt is when this daemon
 	// last learned from others that the peer is there.
-	HeardAt time.Time
-	NamedAt time.Time
+	LastHeardAt   time.Time
+	LastLearnedAt time.Time
 }
 
-// Self is the daemon whose members these are.
-type Self struct{ VM, Zone, Address string }
+// Identity is the daemon whose members these are.
+type Identity struct{ VM, Zone, Address string }
 
 // Members are the daemons that this one knows of.
 type Members struct {
-	self Self
+	self Identity
 
 	mu    sync.Mutex
 	peers map[string]*member
@@ -63,12 +63,12 @@
 type member struct {
 	Peer
 	sequence uint64
-	// askedAt is since when reports have gone to the peer without a sign of it.
-	askedAt time.Time
+	// unansweredSince is since when reports have gone to the peer without a sign of it.
+	unansweredSince time.Time
 }
 
 // NewMembers returns the members with addresses to begin with.
-func NewMembers(self Self, hints []string) *Members {
+func NewMembers(self Identity, hints []string) *Members {
 	m := &Members{self: self, peers: map[string]*member{}, hints: map[string]bool{}}
 	for _, address := range hints {
 		if address != self.Address {
@@ -90,12 +90,12 @@
 		p = &member{Peer: Peer{VM: vm, Zone: zone, Address: address}}
 		m.peers[vm] = p
 	}
-	p.NamedAt = now
+	p.LastLearnedAt = now
 }
 
-// hear takes over a peer's own report. It returns false for one that is not
+// recordReport takes over a peer's own report. It returns false for one that is not
 // newer than the last, and whether the process was unknown.
-func (m *Members) hear(report Peer, sequence uint64, now time.Time) (fresh, unknown bool) {
+func (m *Members) recordReport(report Peer, sequence uint64, now time.Time) (fresh, unknown bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.peers[report.VM]
@@ -107,68 +107,68 @@
 	if !unknown && sequence <= p.sequence {
 		return false, false
 	}
-	named := p.NamedAt
-	p.Peer, p.sequence, p.askedAt = report, sequence, time.Time{}
-	p.NamedAt, p.HeardAt = named, now
+	named := p.LastLearnedAt
+	p.Peer, p.sequence, p.unansweredSince = report, sequence, time.Time{}
+	p.LastLearnedAt, p.LastHeardAt = named, now
 	delete(m.hints, report.Address)
 	return true, unknown
 }
 
-// asked notes that a report goes to a peer.
-func (m *Members) asked(vm string, now time.Time) {
+// recordSent notes that a report goes to a peer.
+func (m *Members) recordSent(vm string, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if p := m.peers[vm]; p != nil && p.askedAt.IsZero() {
-		p.askedAt = now
+	if p := m.peers[vm]; p != nil && p.unansweredSince.IsZero() {
+		p.unansweredSince = now
 	}
 }
 
 // Known returns the peers that count as daemons of the deployment.
 func (m *Members) Known(now time.Time) []Peer {
-	return m.list(func(p *member) bool { return now.Sub(p.lastSign()) < forgetAfter })
+	return m.filter(func(p *member) bool { return now.Sub(p.lastSeen()) < forgetAfter })
 }
 
-// Heard returns the peers that are reached now: the relays of this daemon's zone,
+// Reachable returns the peers that are reached now: the relays of this daemon's zone,
 // and for a relay all daemons of the zone and the leads of others.
-func (m *Members) Heard(now time.Time) []Peer {
-	return m.list(func(p *member) bool { return p.Heard(now) })
+func (m *Members) Reachable(now time.Time) []Peer {
+	return m.filter(func(p *member) bool { return p.Reachable(now) })
 }
 
 // HeardWithin returns the peers that were heard in the last while.
 func (m *Members) HeardWithin(while time.Duration, now time.Time) []Peer {
-	return m.list(func(p *member) bool { return !p.HeardAt.IsZero() && now.Sub(p.HeardAt) < while })
+	return m.filter(func(p *member) bool { return !p.LastHeardAt.IsZero() && now.Sub(p.LastHeardAt) < while })
 }
 
-// Heard reports whether the peer is reached now.
-func (p *Peer) Heard(now time.Time) bool {
-	return !p.HeardAt.IsZero() && now.Sub(p.HeardAt) < silentAfter
+// Reachable reports whether the peer is reached now.
+func (p *Peer) Reachable(now time.Time) bool {
+	return !p.LastHeardAt.IsZero() && now.Sub(p.LastHeardAt) < unreachableAfter
 }
 
 // suspected reports whether the peer has been asked for a while in vain.
 func (p *member) suspected(now time.Time) bool {
-	return !p.Heard(now) && !p.askedAt.IsZero() && now.Sub(p.askedAt) >= silentAfter
+	return !p.Reachable(now) && !p.unansweredSince.IsZero() && now.Sub(p.unansweredSince) >= unreachableAfter
 }
 
 // mayLackUses reports whether the peer may not know what was used a while ago: it has just
 // started, or stood still.
 func (p *Peer) mayLackUses(now time.Time) bool {
-	return !p.HeardAt.IsZero() && p.Counting+now.Sub(p.HeardAt) < tellUsesFor
+	return !p.LastHeardAt.IsZero() && p.CountingFor+now.Sub(p.LastHeardAt) < sendUsesFor
 }
 
-// lacks reports whether the peer may lack uses that were counted for longer than it counts.
-func (p *Peer) lacks(uses *gossippb.Uses, now time.Time) bool {
+// lacksUses reports whether the peer may lack uses that were counted for longer than it counts.
+func (p *Peer) lacksUses(uses *gossippb.Uses, now time.Time) bool {
 	known := time.Duration(uses.GetKnownMs()) * time.Millisecond
-	return uses != nil && p.mayLackUses(now) && known > p.Counting+now.Sub(p.HeardAt)
+	return uses != nil && p.mayLackUses(now) && known > p.CountingFor+now.Sub(p.LastHeardAt)
 }
 
-func (p *Peer) lastSign() time.Time {
-	if p.HeardAt.After(p.NamedAt) {
-		return p.HeardAt
+func (p *Peer) lastSeen() time.Time {
+	if p.LastHeardAt.After(p.LastLearnedAt) {
+		return p.LastHeardAt
 	}
-	return p.NamedAt
+	return p.LastLearnedAt
 }
 
-func (m *Members) list(keep func(*member) bool) []Peer {
+func (m *Members) filter(keep func(*member) bool) []Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var peers []Peer
@@ -177,15 +177,15 @@
 			peers = append(peers, p.Peer)
 		}
 	}
-	slices.SortFunc(peers, byVM)
+	slices.SortFunc(peers, compareByVM)
 	return peers
 }
 
-func byVM(a, b Peer) int { return cmp.Compare(a.VM, b.VM) }
+func compareByVM(a, b Peer) int { return cmp.Compare(a.VM, b.VM) }
 
-// mostHints bounds the addresses that are remembered: those of a zone at the size to
+// maxHints bounds the addresses that are remembered: those of a zone at the size to
 // design for.
-const mostHints = 64
+const maxHints = 64
 
 // Sweep forgets peers that have been silent for long, and returns them. Their addresses
 // stay as hints: a long cut may end.
@@ -194,10 +194,10 @@
 	defer m.mu.Unlock()
 	var gone []Peer
 	for vm, p := range m.peers {
-		if now.Sub(p.lastSign()) >= forgetAfter {
+		if now.Sub(p.lastSeen()) >= forgetAfter {
 			gone = append(gone, p.Peer)
 			delete(m.peers, vm)
-			if len(m.hints) < mostHints {
+			if len(m.hints) < maxHints {
 				m.hints[p.Address] = true
 			}
 		}
--- a/internal/gossip/members_test.go
+++ b/internal/gossip/members_test.go
@@ -9,7 +9,7 @@
 
 var (
 	start = time.Unix(1000, 0)
-	self  = Self{VM: "e", Zone: "z", Address: "e:1"}
+	self  = Identity{VM: "e", Zone: "z", Address: "e:1"}
 )
 
 func report(vm string, incarnation uint64) Peer {
@@ -19,46 +19,46 @@
 func TestOldAndRepeatedReportsAreDropped(t *testing.T) {
 	c := qt.New(t)
 	m := NewMembers(self, nil)
-	fresh, unknown := m.hear(report("b", 1), 5, start)
+	fresh, unknown := m.recordReport(report("b", 1), 5, start)
 	c.Check(fresh && unknown, qt.IsTrue)
-	fresh, _ = m.hear(report("b", 1), 5, start)
+	fresh, _ = m.recordReport(report("b", 1), 5, start)
 	c.Check(fresh, qt.IsFalse)
-	fresh, _ = m.hear(report("b", 1), 4, start)
+	fresh, _ = m.recordReport(report("b", 1), 4, start)
 	c.Check(fresh, qt.IsFalse)
-	fresh, unknown = m.hear(report("b", 2), 1, start)
+	fresh, unknown = m.recordReport(report("b", 2), 1, start)
 	c.Check(fresh && unknown, qt.IsTrue, qt.Commentf("a restarted process counts anew"))
 }
 
 func TestSilentPeersStayKnownForAWhile(t *testing.T) {
 	c := qt.New(t)
 	m := NewMembers(self, nil)
-	m.hear(report("b", 1), 1, start)
+	m.recordReport(report("b", 1), 1, start)
 	m.Learn("c", "z", "c:1", start)
-	c.Check(m.Heard(start), qt.HasLen, 1)
+	c.Check(m.Reachable(start), qt.HasLen, 1)
 	c.Check(m.Known(start), qt.HasLen, 2)
-	c.Check(m.Heard(start.Add(silentAfter)), qt.HasLen, 0)
+	c.Check(m.Reachable(start.Add(unreachableAfter)), qt.HasLen, 0)
 	c.Check(m.Known(start.Add(forgetAfter-1)), qt.HasLen, 2)
 	m.Learn("c", "z", "c:1", start.Add(time.Second))
 	c.Check(m.Sweep(start.Add(forgetAfter)), qt.HasLen, 1, qt.Commentf("c was named again"))
 	c.Check(m.Known(start), qt.HasLen, 1)
 }
 
-func TestHintsAreAskedUntilTheirDaemonIsKnown(t *testing.T) {
+func TestHintsAreUsedUntilTheirDaemonIsKnown(t *testing.T) {
 	c := qt.New(t)
 	m := NewMembers(self, []string{"b:1", "gone:1", self.Address})
 	c.Check(m.hintAddresses(), qt.DeepEquals, []string{"b:1", "gone:1"})
-	m.hear(report("b", 1), 1, start)
+	m.recordReport(report("b", 1), 1, start)
 	c.Check(m.hintAddresses(), qt.DeepEquals, []string{"gone:1"})
 }
 
-// hearAll lets a daemon hear others of its zone.
-func hearAll(m *Members, now time.Time, vms ...string) {
+// reportAll lets a daemon hear others of its zone.
+func reportAll(m *Members, now time.Time, vms ...string) {
 	for _, vm := range vms {
-		m.hear(report(vm, 1), uint64(now.UnixNano()), now)
+		m.recordReport(report(vm, 1), uint64(now.UnixNano()), now)
 	}
 }
 
-func names(peers []Peer) []string {
+func vmsOf(peers []Peer) []string {
 	var all []string
 	for _, p := range peers {
 		all = append(all, p.VM)
@@ -69,94 +69,94 @@
 func TestFirstDaemonsOfAZoneRelay(t *testing.T) {
 	c := qt.New(t)
 	m := NewMembers(self, nil)
-	c.Check(m.Plan(Condition{}, start).Lead, qt.IsTrue, qt.Commentf("alone"))
-	hearAll(m, start, "a", "b", "f")
-	plan := m.Plan(Condition{}, start)
-	c.Check(plan.Relay || plan.Lead, qt.IsFalse)
-	c.Check(names(plan.ReportTo), qt.DeepEquals, []string{"a", "b"})
-	c.Check(plan.Zone, qt.HasLen, 0)
+	c.Check(m.Plan(LocalState{}, start).Leader, qt.IsTrue, qt.Commentf("alone"))
+	reportAll(m, start, "a", "b", "f")
+	plan := m.Plan(LocalState{}, start)
+	c.Check(plan.Relay || plan.Leader, qt.IsFalse)
+	c.Check(vmsOf(plan.ReportTo), qt.DeepEquals, []string{"a", "b"})
+	c.Check(plan.ZonePeers, qt.HasLen, 0)
 }
 
 func TestSuspectedRelaysAreReplaced(t *testing.T) {
 	c := qt.New(t)
 	m := NewMembers(self, nil)
-	hearAll(m, start, "a", "b", "c")
-	m.asked("a", start.Add(time.Second))
-	m.asked("b", start.Add(time.Second))
-	later := start.Add(time.Second + silentAfter)
-	plan := m.Plan(Condition{}, later)
-	c.Check(names(plan.ReportTo), qt.DeepEquals, []string{"c"})
+	reportAll(m, start, "a", "b", "c")
+	m.recordSent("a", start.Add(time.Second))
+	m.recordSent("b", start.Add(time.Second))
+	later := start.Add(time.Second + unreachableAfter)
+	plan := m.Plan(LocalState{}, later)
+	c.Check(vmsOf(plan.ReportTo), qt.DeepEquals, []string{"c"})
 	c.Check(plan.Relay, qt.IsTrue)
-	hearAll(m, later, "a")
-	c.Check(names(m.Plan(Condition{}, later).ReportTo), qt.DeepEquals, []string{"a", "c"})
+	reportAll(m, later, "a")
+	c.Check(vmsOf(m.Plan(LocalState{}, later).ReportTo), qt.DeepEquals, []string{"a", "c"})
 }
 
-func TestRelayThatTheStoreRefusesLeavesItToAnother(t *testing.T) {
+func TestRelayWithoutStoreDoesNotFollowIt(t *testing.T) {
 	c := qt.New(t)
-	m := NewMembers(Self{VM: "b", Zone: "z"}, nil)
-	hearAll(m, start, "a", "c", "d")
-	c.Check(m.Plan(Condition{}, start).Follows, qt.IsFalse)
+	m := NewMembers(Identity{VM: "b", Zone: "z"}, nil)
+	reportAll(m, start, "a", "c", "d")
+	c.Check(m.Plan(LocalState{}, start).FollowsStore, qt.IsFalse)
 	refused := report("a", 1)
 	refused.StoreFailing = true
-	m.hear(refused, uint64(start.UnixNano())+1, start)
-	plan := m.Plan(Condition{}, start)
-	c.Check(plan.Follows, qt.IsTrue)
-	c.Check(plan.LeadVM, qt.Equals, "a", qt.Commentf("who tells the sums does not depend on the store"))
-	c.Check(names(plan.ReportTo), qt.DeepEquals, []string{"a", "c"}, qt.Commentf("one more relay stands in"))
-	plan = m.Plan(Condition{StoreFailing: true}, start)
-	c.Check(plan.Follows, qt.IsFalse)
+	m.recordReport(refused, uint64(start.UnixNano())+1, start)
+	plan := m.Plan(LocalState{}, start)
+	c.Check(plan.FollowsStore, qt.IsTrue)
+	c.Check(plan.LeaderVM, qt.Equals, "a", qt.Commentf("who tells the sums does not depend on the store"))
+	c.Check(vmsOf(plan.ReportTo), qt.DeepEquals, []string{"a", "c"}, qt.Commentf("one more relay stands in"))
+	plan = m.Plan(LocalState{StoreFailing: true}, start)
+	c.Check(plan.FollowsStore, qt.IsFalse)
 	c.Check(plan.Relay, qt.IsTrue)
 }
 
-func TestAllRelaysTryWhileTheStoreAnswersNone(t *testing.T) {
+func TestAllRelaysFollowWhileNoneReachesTheStore(t *testing.T) {
 	c := qt.New(t)
-	m := NewMembers(Self{VM: "b", Zone: "z"}, nil)
+	m := NewMembers(Identity{VM: "b", Zone: "z"}, nil)
 	refused := report("a", 1)
 	refused.StoreFailing = true
-	m.hear(refused, 1, start)
-	c.Check(m.Plan(Condition{StoreFailing: true}, start).Follows, qt.IsTrue)
+	m.recordReport(refused, 1, start)
+	c.Check(m.Plan(LocalState{StoreFailing: true}, start).FollowsStore, qt.IsTrue)
 }
 
-func TestLeadTellsOtherZones(t *testing.T) {
+func TestLeaderSendsToOtherZones(t *testing.T) {
 	c := qt.New(t)
-	m := NewMembers(Self{VM: "a", Zone: "z"}, nil)
+	m := NewMembers(Identity{VM: "a", Zone: "z"}, nil)
 	for _, vm := range []string{"p", "q", "r"} {
 		m.Learn(vm, "y", vm+":1", start)
 	}
-	hearAll(m, start, "b", "c", "d")
-	plan := m.Plan(Condition{}, start)
-	c.Check(plan.Lead, qt.IsTrue)
-	c.Check(names(plan.Far), qt.DeepEquals, []string{"p", "q"})
-	c.Check(names(plan.Zone), qt.DeepEquals, []string{"b", "c", "d"})
-	c.Check(m.Plan(Condition{Draining: true}, start).Relay, qt.IsFalse)
+	reportAll(m, start, "b", "c", "d")
+	plan := m.Plan(LocalState{}, start)
+	c.Check(plan.Leader, qt.IsTrue)
+	c.Check(vmsOf(plan.RemoteRelays), qt.DeepEquals, []string{"p", "q"})
+	c.Check(vmsOf(plan.ZonePeers), qt.DeepEquals, []string{"b", "c", "d"})
+	c.Check(m.Plan(LocalState{Draining: true}, start).Relay, qt.IsFalse)
 }
 
 func TestLastDaemonOfAZoneLeadsWhileItDrains(t *testing.T) {
 	c := qt.New(t)
-	m := NewMembers(Self{VM: "a", Zone: "z"}, nil)
+	m := NewMembers(Identity{VM: "a", Zone: "z"}, nil)
 	m.Learn("p", "y", "p:1", start)
-	plan := m.Plan(Condition{Draining: true}, start)
-	c.Check(plan.Lead, qt.IsTrue, qt.Commentf("what it has counted must reach the others"))
-	c.Check(names(plan.Far), qt.DeepEquals, []string{"p"})
+	plan := m.Plan(LocalState{Draining: true}, start)
+	c.Check(plan.Leader, qt.IsTrue, qt.Commentf("what it has counted must reach the others"))
+	c.Check(vmsOf(plan.RemoteRelays), qt.DeepEquals, []string{"p"})
 }
 
-// TestPartsDoNotGrowWithTheZone: all daemons of a zone agree on two relays, and
+// TestMessagesGrowLinearlyWithTheZone: all daemons of a zone agree on two relays, and
 // the messages of a round grow with the number of daemons, not with its square.
-func TestPartsDoNotGrowWithTheZone(t *testing.T) {
+func TestMessagesGrowLinearlyWithTheZone(t *testing.T) {
 	c := qt.New(t)
 	const daemons = 60
 	messages, leads := 0, 0
 	for i := range daemons {
 		vm := vmName(i)
-		m := NewMembers(Self{VM: vm, Zone: "z", Address: vm}, nil)
+		m := NewMembers(Identity{VM: vm, Zone: "z", Address: vm}, nil)
 		for other := range daemons {
 			m.Learn(vmName(other), "z", vmName(other), start)
 		}
-		plan := m.Plan(Condition{}, start)
-		if plan.Lead {
+		plan := m.Plan(LocalState{}, start)
+		if plan.Leader {
 			leads++
 		}
-		messages += len(plan.Zone)
+		messages += len(plan.ZonePeers)
 		if !plan.Relay {
 			messages += len(plan.ReportTo)
 		}
@@ -171,19 +171,19 @@
 // turns, and of a zone that is heard its relays alone.
 func TestSilentZoneIsStillTold(t *testing.T) {
 	c := qt.New(t)
-	m := NewMembers(Self{VM: "a", Zone: "z", Address: "a:1"}, nil)
+	m := NewMembers(Identity{VM: "a", Zone: "z", Address: "a:1"}, nil)
 	for _, vm := range []string{"p", "q", "r", "s"} {
-		m.hear(Peer{VM: vm, Zone: "far", Address: vm + ":1"}, 1, start)
+		m.recordReport(Peer{VM: vm, Zone: "far", Address: vm + ":1"}, 1, start)
 	}
-	c.Check(m.Plan(Condition{}, start).Far, qt.HasLen, relaysPerZone)
+	c.Check(m.Plan(LocalState{}, start).RemoteRelays, qt.HasLen, relaysPerZone)
 	later := start
 	for _, vm := range []string{"p", "q", "r", "s"} {
-		m.asked(vm, later)
+		m.recordSent(vm, later)
 	}
 	told := map[string]bool{}
 	for range 8 {
-		later = later.Add(2 * silentAfter)
-		far := m.Plan(Condition{}, later).Far
+		later = later.Add(2 * unreachableAfter)
+		far := m.Plan(LocalState{}, later).RemoteRelays
 		c.Check(len(far) > 0, qt.IsTrue, qt.Commentf("at %v", later.Sub(start)))
 		for _, p := range far {
 			told[p.VM] = true
@@ -196,9 +196,9 @@
 func TestForgottenPeersStayAsHints(t *testing.T) {
 	c := qt.New(t)
 	m := NewMembers(self, nil)
-	m.hear(report("b", 1), 1, start)
+	m.recordReport(report("b", 1), 1, start)
 	m.Sweep(start.Add(forgetAfter))
 	c.Check(m.hintAddresses(), qt.DeepEquals, []string{"b:1"})
-	m.hear(report("b", 1), 2, start.Add(time.Hour))
+	m.recordReport(report("b", 1), 2, start.Add(time.Hour))
 	c.Check(m.hintAddresses(), qt.HasLen, 0)
 }
--- a/internal/gossip/notice_test.go
+++ b/internal/gossip/notice_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestFewAreTold: where there are many daemons some are drawn, not always the same ones.
-func TestFewAreTold(t *testing.T) {
+// TestNoticeRecipientsAreSampled: where there are many daemons some are drawn, not always the same ones.
+func TestNoticeRecipientsAreSampled(t *testing.T) {
 	c := qt.New(t)
 	told := map[string]bool{}
 	for range 200 {
@@ -17,25 +17,25 @@
 		for i := range 80 {
 			peers = append(peers, Peer{VM: fmt.Sprint(i)})
 		}
-		few := drawn(peers, mostNoticed)
-		c.Assert(few, qt.HasLen, mostNoticed)
+		few := samplePeers(peers, maxNoticeRecipients)
+		c.Assert(few, qt.HasLen, maxNoticeRecipients)
 		for _, p := range few {
 			told[p.VM] = true
 		}
 	}
 	c.Check(told, qt.HasLen, 80)
-	c.Check(drawn([]Peer{{VM: "a"}}, mostNoticed), qt.HasLen, 1)
+	c.Check(samplePeers([]Peer{{VM: "a"}}, maxNoticeRecipients), qt.HasLen, 1)
 }
 
 // TestNoticesAreBounded: however many large prompts there are, a daemon tells of two a
 // second.
 func TestNoticesAreBounded(t *testing.T) {
 	c := qt.New(t)
-	limiter, now, sent := newNoticeRate(), time.Unix(1000, 0), 0
+	limiter, now, sent := newNoticeLimiter(), time.Unix(1000, 0), 0
 	for tick := range 1000 {
 		if limiter.AllowN(now.Add(time.Duration(tick)*10*time.Millisecond), 1) {
 			sent++
 		}
 	}
-	c.Check(sent <= 10*mostNotices+noticesAtOnce, qt.IsTrue, qt.Commentf("%d in ten seconds", sent))
+	c.Check(sent <= 10*maxNoticesPerSecond+noticeBurst, qt.IsTrue, qt.Commentf("%d in ten seconds", sent))
 }
--- a/internal/gossip/pull.go
+++ b/internal/gossip/pull.go
@@ -10,12 +10,12 @@
 	"github.com/plankridge/plankridge/internal/gossip/gossippb"
 )
 
-// pulling is a peer that is being asked.
-type pulling struct {
-	// begun is when the present call to it began.
-	begun time.Time
-	// again is set where another call is due after it.
-	again bool
+// pullState is a peer that is being asked.
+type pullState struct {
+	// startedAt is when the present call to it began.
+	startedAt time.Time
+	// repeat is set where another call is due after it.
+	repeat bool
 }
 
 // beginPull reports whether a call to the peer may begin. Where one is under way, another
@@ -24,20 +24,20 @@
 func (n *Node) beginPull(address string, now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if under := n.pulling[address]; under != nil {
-		under.again = true
+	if under := n.pulls[address]; under != nil {
+		under.repeat = true
 		return false
 	}
 	lately := 0
-	for _, p := range n.pulling {
-		if now.Sub(p.begun) < slowPull {
+	for _, p := range n.pulls {
+		if now.Sub(p.startedAt) < slowPullAfter {
 			lately++
 		}
 	}
-	if lately >= mostPulls {
+	if lately >= maxConcurrentPulls {
 		return false
 	}
-	n.pulling[address] = &pulling{begun: now}
+	n.pulls[address] = &pullState{startedAt: now}
 	return true
 }
 
@@ -45,12 +45,12 @@
 func (n *Node) endPull(address string, now time.Time) (again bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p := n.pulling[address]
-	if p.again {
-		p.begun, p.again = now, false
+	p := n.pulls[address]
+	if p.repeat {
+		p.startedAt, p.repeat = now, false
 		return true
 	}
-	delete(n.pulling, address)
+	delete(n.pulls, address)
 	return false
 }
 
@@ -65,15 +65,15 @@
 func (n *Node) pullOnce(ctx context.Context, address string) (again bool) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	reply, err := n.call(ctx, address)
+	reply, err := n.callPull(ctx, address)
 	if err != nil {
 		n.options.Logger.Warn("peer could not be asked", "peer_address", address, "error", err)
 		return false
 	}
-	return n.options.Sink.Pulled(reply)
+	return n.options.Sink.HandlePullReply(reply)
 }
 
-func (n *Node) call(ctx context.Context, address string) (*gossippb.PullReply, error) {
+func (n *Node) callPull(ctx context.Context, address string) (*gossippb.PullReply, error) {
 	conn, err := grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithContextDialer(n.options.Network.Dial))
@@ -81,10 +81,10 @@
 		return nil, err
 	}
 	defer func() { _ = conn.Close() }()
-	return gossippb.NewPeersClient(conn).Pull(ctx, n.options.Source.Request())
+	return gossippb.NewPeersClient(conn).Pull(ctx, n.options.Source.PullRequest())
 }
 
 // Pull implements gossippb.PeersServer.
 func (n *Node) Pull(_ context.Context, request *gossippb.PullRequest) (*gossippb.PullReply, error) {
-	return n.options.Source.Pull(request), nil
+	return n.options.Source.AnswerPull(request), nil
 }
--- a/internal/gossip/pull_test.go
+++ b/internal/gossip/pull_test.go
@@ -8,45 +8,45 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var begun = time.Unix(1000, 0)
+var pullStart = time.Unix(1000, 0)
 
-// TestFewPeersAreAskedAtOnce: however many have something newer.
-func TestFewPeersAreAskedAtOnce(t *testing.T) {
+// TestConcurrentPullsAreBounded: however many have something newer.
+func TestConcurrentPullsAreBounded(t *testing.T) {
 	c := qt.New(t)
-	n := &Node{pulling: map[string]*pulling{}}
+	n := &Node{pulls: map[string]*pullState{}}
 	asked := 0
 	for i := range 20 {
-		if n.beginPull(fmt.Sprintf("10.0.0.%d:1", i), begun) {
+		if n.beginPull(fmt.Sprintf("10.0.0.%d:1", i), pullStart) {
 			asked++
 		}
 	}
-	c.Check(asked, qt.Equals, mostPulls)
+	c.Check(asked, qt.Equals, maxConcurrentPulls)
 }
 
-// TestPeerIsAskedAgain: what it told of while it was being asked is fetched next, without
+// TestPullIsRepeatedAfterANewerReport: what it told of while it was being asked is fetched next, without
 // waiting for its next report.
-func TestPeerIsAskedAgain(t *testing.T) {
+func TestPullIsRepeatedAfterANewerReport(t *testing.T) {
 	c := qt.New(t)
-	n := &Node{pulling: map[string]*pulling{}}
-	c.Check(n.beginPull("10.0.0.1:1", begun), qt.IsTrue)
-	c.Check(n.endPull("10.0.0.1:1", begun), qt.IsFalse)
-	c.Check(n.beginPull("10.0.0.1:1", begun), qt.IsTrue)
-	c.Check(n.beginPull("10.0.0.1:1", begun), qt.IsFalse)
-	c.Check(n.beginPull("10.0.0.1:1", begun), qt.IsFalse)
-	c.Check(n.endPull("10.0.0.1:1", begun), qt.IsTrue)
-	c.Check(n.endPull("10.0.0.1:1", begun), qt.IsFalse)
-	c.Check(n.pulling, qt.HasLen, 0)
+	n := &Node{pulls: map[string]*pullState{}}
+	c.Check(n.beginPull("10.0.0.1:1", pullStart), qt.IsTrue)
+	c.Check(n.endPull("10.0.0.1:1", pullStart), qt.IsFalse)
+	c.Check(n.beginPull("10.0.0.1:1", pullStart), qt.IsTrue)
+	c.Check(n.beginPull("10.0.0.1:1", pullStart), qt.IsFalse)
+	c.Check(n.beginPull("10.0.0.1:1", pullStart), qt.IsFalse)
+	c.Check(n.endPull("10.0.0.1:1", pullStart), qt.IsTrue)
+	c.Check(n.endPull("10.0.0.1:1", pullStart), qt.IsFalse)
+	c.Check(n.pulls, qt.HasLen, 0)
 }
 
 // TestSilentPeersHoldNobodyUp: peers that have lost power while they are asked answer nothing for
 // seconds; what others have is fetched meanwhile.
 func TestSilentPeersHoldNobodyUp(t *testing.T) {
 	c := qt.New(t)
-	n := &Node{pulling: map[string]*pulling{}}
-	c.Assert(n.beginPull("10.0.0.1:1", begun), qt.IsTrue)
-	c.Assert(n.beginPull("10.0.0.2:1", begun), qt.IsTrue)
-	c.Check(n.beginPull("10.0.0.3:1", begun.Add(slowPull-time.Millisecond)), qt.IsFalse)
-	c.Check(n.beginPull("10.0.0.3:1", begun.Add(slowPull)), qt.IsTrue)
-	c.Check(n.beginPull("10.0.0.4:1", begun.Add(slowPull)), qt.IsTrue)
-	c.Check(n.beginPull("10.0.0.5:1", begun.Add(slowPull)), qt.IsFalse)
+	n := &Node{pulls: map[string]*pullState{}}
+	c.Assert(n.beginPull("10.0.0.1:1", pullStart), qt.IsTrue)
+	c.Assert(n.beginPull("10.0.0.2:1", pullStart), qt.IsTrue)
+	c.Check(n.beginPull("10.0.0.3:1", pullStart.Add(slowPullAfter-time.Millisecond)), qt.IsFalse)
+	c.Check(n.beginPull("10.0.0.3:1", pullStart.Add(slowPullAfter)), qt.IsTrue)
+	c.Check(n.beginPull("10.0.0.4:1", pullStart.Add(slowPullAfter)), qt.IsTrue)
+	c.Check(n.beginPull("10.0.0.5:1", pullStart.Add(slowPullAfter)), qt.IsFalse)
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -29,41 +29,41 @@
 	// Renewals numbers the writes: a record that does not change has a holder
 	// that does not act, and a holder knows its own write by its number.
 	Renewals int64 `json:"renewals"`
-	// Reports are the usage reports that were decided on, by window. They stand
+	// UsageReports are the usage reports that were decided on, by window. They stand
 	// here before they are sent, so that whoever sends one again sends the same.
-	Reports map[int64]usage.Counts `json:"reports,omitempty"`
-	// Memory is what daemons that start should know when no other is left to ask.
-	Memory Memory `json:"memory"`
+	UsageReports map[int64]usage.Counts `json:"reports,omitempty"`
+	// Snapshot is what daemons that start should know when no other is left to ask.
+	Snapshot Snapshot `json:"memory"`
 }
 
-// Memory is what the holder knows of the deployment at a renewal.
-type Memory struct {
+// Snapshot is what the holder knows of the deployment at a renewal.
+type Snapshot struct {
 	// Daemons is the number of daemons.
 	Daemons int `json:"daemons"`
-	// WrittenMs is the time of day at which this was known, in milliseconds since 1970.
-	WrittenMs int64 `json:"written_ms,omitempty"`
-	// Uses are what the workspaces have used lately.
-	Uses map[string]allowance.Use `json:"uses,omitempty"`
-	// Asked is how fast all daemons are asked, by workspace, in tokens a second.
-	Asked map[string]float64 `json:"asked"`
+	// WrittenAtMs is the time of day at which this was known, in milliseconds since 1970.
+	WrittenAtMs int64 `json:"written_ms,omitempty"`
+	// RecentUses are what the workspaces have used lately.
+	RecentUses map[string]allowance.Use `json:"uses,omitempty"`
+	// DemandRates is how fast all daemons are asked, by workspace, in tokens a second.
+	DemandRates map[string]float64 `json:"asked"`
 	// Warmup is set when the writer of the uses had just started to count them.
 	Warmup bool `json:"warmup,omitempty"`
 	// Paces are what was learned of the engines, by service.
 	Paces map[string]pace.EngineFigures `json:"paces,omitempty"`
-	// Limits are the time limits that first tries of each route state.
-	Limits map[string]time.Duration `json:"limits,omitempty"`
-	// Windows are the requests that began in the latest windows, over all daemons.
-	Windows map[int64]usage.Counts `json:"windows,omitempty"`
+	// FirstTryLimits are the time limits that first tries of each route state.
+	FirstTryLimits map[string]time.Duration `json:"limits,omitempty"`
+	// RequestWindows are the requests that began in the latest windows, over all daemons.
+	RequestWindows map[int64]usage.Counts `json:"windows,omitempty"`
 	// RollOuts are the versions of the services and the orders that have not ended.
 	RollOuts *rollout.Memory `json:"rollouts,omitempty"`
 	// Held are requests under which servers have ended.
 	Held []quarantine.Word `json:"held,omitempty"`
-	// HeldMs is the time of day as of which Held was written, in milliseconds since 1970.
-	HeldMs int64 `json:"held_ms,omitempty"`
+	// HeldAtMs is the time of day as of which Held was written, in milliseconds since 1970.
+	HeldAtMs int64 `json:"held_ms,omitempty"`
 }
 
-// Keeper is one daemon's view of the lease.
-type Keeper struct {
+// Tracker is one daemon's view of the lease.
+type Tracker struct {
 	self        string
 	address     string
 	incarnation uint64
@@ -71,87 +71,87 @@
 
 	record   Record
 	revision int64
-	// seenAt is when this daemon first saw the revision.
-	seenAt time.Time
-	known  bool
+	// revisionSeenAt is when this daemon first saw the revision.
+	revisionSeenAt time.Time
+	recordKnown    bool
 	// fence and until are set while this daemon holds the lease.
-	fence int64
-	until time.Time
-	// pending is the last write that was begun. Its answer may be lost.
-	pending Record
-	begunAt time.Time
-	// number is the highest number that this daemon has given to a write, so
+	fence      int64
+	validUntil time.Time
+	// pendingWrite is the last write that was begun. Its answer may be lost.
+	pendingWrite Record
+	pendingSince time.Time
+	// lastWriteNumber is the highest number that this daemon has given to a write, so
 	// that each write can be told from its earlier ones.
-	number int64
+	lastWriteNumber int64
 }
 
-// holdFor is the part of the lease's duration that the holder uses. The rest
+// holdRatio is the part of the lease's duration that the holder uses. The rest
 // keeps a slow holder from acting beside its successor.
-const holdFor = 0.8
+const holdRatio = 0.8
 
-// NewKeeper returns the view of a daemon's process. A challenger takes a lease
+// NewTracker returns the view of a daemon's process. A challenger takes a lease
 // that has not been renewed for the duration.
-func NewKeeper(self string, incarnation uint64, duration time.Duration) *Keeper {
-	return &Keeper{self: self, incarnation: incarnation, duration: duration}
+func NewTracker(self string, incarnation uint64, duration time.Duration) *Tracker {
+	return &Tracker{self: self, incarnation: incarnation, duration: duration}
 }
 
-// ListensAt tells the keeper where its daemon listens for peers.
-func (k *Keeper) ListensAt(address string) { k.address = address }
+// SetAddress tells the keeper where its daemon listens for peers.
+func (k *Tracker) SetAddress(address string) { k.address = address }
 
 // Observe takes over what was read from the store. Revision zero means that
 // there is no record yet.
-func (k *Keeper) Observe(revision int64, record Record, now time.Time) {
-	if k.known && revision < k.revision {
+func (k *Tracker) Observe(revision int64, record Record, now time.Time) {
+	if k.recordKnown && revision < k.revision {
 		return
 	}
-	if !k.known || revision != k.revision {
-		k.seenAt = now
+	if !k.recordKnown || revision != k.revision {
+		k.revisionSeenAt = now
 	}
-	k.known, k.revision, k.record = true, revision, record
+	k.recordKnown, k.revision, k.record = true, revision, record
 	switch {
-	case !k.mine():
+	case !k.heldBySelf():
 		k.fence = 0
-	case record.Renewals == k.pending.Renewals && !k.begunAt.IsZero():
+	case record.Renewals == k.pendingWrite.Renewals && !k.pendingSince.IsZero():
 		// The answer of this daemon's own write was lost.
-		k.confirm(revision)
+		k.confirmPendingWrite(revision)
 	}
 }
 
-// confirm takes over that the pending write was carried out. The lease counts
+// confirmPendingWrite takes over that the pending write was carried out. The lease counts
 // from before the write was begun.
-func (k *Keeper) confirm(revision int64) {
+func (k *Tracker) confirmPendingWrite(revision int64) {
 	if k.fence == 0 {
 		k.fence = revision
 	}
-	k.until = k.begunAt.Add(k.hold())
+	k.validUntil = k.pendingSince.Add(k.holdTerm())
 }
 
-// Begin notes a write that is about to be sent. The right to act ends before the
+// BeginWrite notes a write that is about to be sent. The right to act ends before the
 // lease is given back, whatever becomes of that write.
-func (k *Keeper) Begin(record Record, now time.Time) {
-	k.pending, k.begunAt, k.number = record, now, max(k.number, record.Renewals)
+func (k *Tracker) BeginWrite(record Record, now time.Time) {
+	k.pendingWrite, k.pendingSince, k.lastWriteNumber = record, now, max(k.lastWriteNumber, record.Renewals)
 	if record.Holder != k.self {
 		k.fence = 0
 	}
 }
 
-// Succeeds reports whether the holder of a record is an earlier process at this daemon's
+// ReplacesHolder reports whether the holder of a record is an earlier process at this daemon's
 // address. It has ended, since only one can listen there: its lease need not lapse. A VM of
 // the same name elsewhere may still run. After the death of all, duties rested until the
 // lease lapsed, 3 s.
-func (k *Keeper) Succeeds(record Record) bool {
+func (k *Tracker) ReplacesHolder(record Record) bool {
 	return k.address != "" && record.Holder == k.self && record.Address == k.address && record.Incarnation != k.incarnation
 }
 
-func (k *Keeper) mine() bool {
+func (k *Tracker) heldBySelf() bool {
 	return k.record.Holder == k.self && k.record.Incarnation == k.incarnation
 }
 
-func (k *Keeper) hold() time.Duration { return time.Duration(holdFor * float64(k.duration)) }
+func (k *Tracker) holdTerm() time.Duration { return time.Duration(holdRatio * float64(k.duration)) }
 
 // Holds reports whether this daemon may act, and with which fencing number.
-func (k *Keeper) Holds(now time.Time) (fence int64, ok bool) {
-	if k.fence == 0 || !now.Before(k.until) {
+func (k *Tracker) Holds(now time.Time) (fence int64, ok bool) {
+	if k.fence == 0 || !now.Before(k.validUntil) {
 		return 0, false
 	}
 	return k.fence, true
@@ -160,53 +160,53 @@
 // Claim returns the record with which this daemon may try to acquire the lease,
 // to be written on the present revision. It returns false while another holder
 // may still act.
-func (k *Keeper) Claim(now time.Time) (Record, bool) {
-	if !k.known {
+func (k *Tracker) Claim(now time.Time) (Record, bool) {
+	if !k.recordKnown {
 		return Record{}, false
 	}
-	free := k.revision == 0 || k.record.Holder == "" || k.mine() || k.Succeeds(k.record)
-	if !free && now.Sub(k.seenAt) < k.duration {
+	free := k.revision == 0 || k.record.Holder == "" || k.heldBySelf() || k.ReplacesHolder(k.record)
+	if !free && now.Sub(k.revisionSeenAt) < k.duration {
 		return Record{}, false
 	}
-	return Record{Holder: k.self, Address: k.address, Incarnation: k.incarnation, Renewals: k.nextNumber(), Reports: k.record.Reports, Memory: k.record.Memory}, true
+	return Record{Holder: k.self, Address: k.address, Incarnation: k.incarnation, Renewals: k.nextWriteNumber(), UsageReports: k.record.UsageReports, Snapshot: k.record.Snapshot}, true
 }
 
 // Renewal returns the record that renews the lease.
-func (k *Keeper) Renewal() Record {
+func (k *Tracker) Renewal() Record {
 	next := k.record
-	next.Renewals = k.nextNumber()
+	next.Renewals = k.nextWriteNumber()
 	return next
 }
 
-func (k *Keeper) nextNumber() int64 { return max(k.record.Renewals, k.number) + 1 }
+func (k *Tracker) nextWriteNumber() int64 { return max(k.record.Renewals, k.lastWriteNumber) + 1 }
 
 // Release returns the record that gives the lease back.
-func (k *Keeper) Release() Record {
+func (k *Tracker) Release() Record {
 	next := k.record
 	next.Holder, next.Address, next.Incarnation = "", "", 0
-	next.Renewals = k.nextNumber()
+	next.Renewals = k.nextWriteNumber()
 	return next
 }
 
-// Written takes over that the write that was begun has succeeded.
-func (k *Keeper) Written(revision int64, now time.Time) {
-	k.known, k.revision, k.record, k.seenAt = true, revision, k.pending, now
-	if !k.mine() {
+// WriteSucceeded takes over that the write that was begun has succeeded.
+func (k *Tracker) WriteSucceeded(revision int64, now time.Time) {
+	k.recordKnown, k.revision, k.record, k.revisionSeenAt = true, revision, k.pendingWrite, now
+	if !k.heldBySelf() {
 		k.fence = 0
 		return
 	}
-	k.confirm(revision)
+	k.confirmPendingWrite(revision)
 }
 
-// Refused takes over that a higher fencing number was seen: the lease has gone
+// Superseded takes over that a higher fencing number was seen: the lease has gone
 // on. The record has to be read again.
-func (k *Keeper) Refused() { k.fence, k.known = 0, false }
+func (k *Tracker) Superseded() { k.fence, k.recordKnown = 0, false }
 
 // Revision returns the revision that the next write is conditional on.
-func (k *Keeper) Revision() int64 { return k.revision }
+func (k *Tracker) Revision() int64 { return k.revision }
 
-// Reports returns the usage reports that were decided on.
-func (k *Keeper) Reports() map[int64]usage.Counts { return k.record.Reports }
+// UsageReports returns the usage reports that were decided on.
+func (k *Tracker) UsageReports() map[int64]usage.Counts { return k.record.UsageReports }
 
-// Until returns the end of this daemon's right to act, as it stands.
-func (k *Keeper) Until() time.Time { return k.until }
+// ValidUntil returns the end of this daemon's right to act, as it stands.
+func (k *Tracker) ValidUntil() time.Time { return k.validUntil }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -16,19 +16,19 @@
 
 func TestAcquireRenewLapse(t *testing.T) {
 	c := qt.New(t)
-	k := NewKeeper("a", 1, duration)
+	k := NewTracker("a", 1, duration)
 	k.Observe(0, Record{}, start)
 	claim, ok := k.Claim(start)
 	c.Assert(ok, qt.IsTrue)
-	k.Begin(claim, start)
-	k.Written(5, start)
+	k.BeginWrite(claim, start)
+	k.WriteSucceeded(5, start)
 	fence, holds := k.Holds(start)
 	c.Check(holds, qt.IsTrue)
 	c.Check(fence, qt.Equals, int64(5))
 	// Without renewal the right ends before a challenger may claim.
 	_, holds = k.Holds(start.Add(duration * 8 / 10))
 	c.Check(holds, qt.IsFalse)
-	other := NewKeeper("b", 1, duration)
+	other := NewTracker("b", 1, duration)
 	other.Observe(5, claim, start)
 	_, ok = other.Claim(start.Add(duration - time.Millisecond))
 	c.Check(ok, qt.IsFalse)
@@ -38,10 +38,10 @@
 
 func TestLostAnswerOfAcquisitionCountsFromBeforeTheWrite(t *testing.T) {
 	c := qt.New(t)
-	k := NewKeeper("a", 1, duration)
+	k := NewTracker("a", 1, duration)
 	k.Observe(0, Record{}, start)
 	claim, _ := k.Claim(start)
-	k.Begin(claim, start)
+	k.BeginWrite(claim, start)
 	late := start.Add(2 * time.Second)
 	k.Observe(5, claim, late)
 	fence, holds := k.Holds(late)
@@ -51,9 +51,9 @@
 	c.Check(holds, qt.IsFalse)
 }
 
-func TestEarlierProcessIsAnother(t *testing.T) {
+func TestEarlierProcessIsAnotherHolder(t *testing.T) {
 	c := qt.New(t)
-	k := NewKeeper("a", 2, duration)
+	k := NewTracker("a", 2, duration)
 	k.Observe(5, Record{Holder: "a", Incarnation: 1}, start)
 	_, holds := k.Holds(start)
 	c.Check(holds, qt.IsFalse)
@@ -61,20 +61,20 @@
 	c.Check(ok, qt.IsFalse)
 }
 
-// TestEarlierProcessAtTheAddressHasEnded: its lease is taken over at once; that of a VM of
+// TestLeaseOfEarlierProcessAtSameAddressIsFree: its lease is taken over at once; that of a VM of
 // the same name at another address is not.
-func TestEarlierProcessAtTheAddressHasEnded(t *testing.T) {
+func TestLeaseOfEarlierProcessAtSameAddressIsFree(t *testing.T) {
 	c := qt.New(t)
 	for address, free := range map[string]bool{"10.1.0.1:82": true, "10.1.0.9:82": false, "": false} {
-		k := NewKeeper("a", 2, duration)
-		k.ListensAt("10.1.0.1:82")
+		k := NewTracker("a", 2, duration)
+		k.SetAddress("10.1.0.1:82")
 		k.Observe(5, Record{Holder: "a", Address: address, Incarnation: 1}, start)
 		claim, ok := k.Claim(start)
 		c.Check(ok, qt.Equals, free, qt.Commentf("%q", address))
 		if ok {
 			c.Check(claim.Address, qt.Equals, "10.1.0.1:82")
-			k.Begin(claim, start)
-			k.Written(6, start)
+			k.BeginWrite(claim, start)
+			k.WriteSucceeded(6, start)
 			fence, holds := k.Holds(start)
 			c.Check(holds, qt.IsTrue)
 			c.Check(fence, qt.Equals, int64(6), qt.Commentf("a higher number than the earlier process had"))
@@ -82,19 +82,19 @@
 	}
 }
 
-func TestGivenBackIsFree(t *testing.T) {
+func TestReleasedLeaseCanBeClaimed(t *testing.T) {
 	c := qt.New(t)
-	k := NewKeeper("b", 1, duration)
+	k := NewTracker("b", 1, duration)
 	k.Observe(7, Record{}, start)
 	_, ok := k.Claim(start)
 	c.Check(ok, qt.IsTrue)
 }
 
-// store is the record as the store keeps it, with writes that happen late.
-type store struct {
+// fakeStore is the record as the store keeps it, with writes that happen late.
+type fakeStore struct {
 	revision int64
 	record   Record
-	late     []write
+	delayed  []write
 }
 
 type write struct {
@@ -102,7 +102,7 @@
 	record   Record
 }
 
-func (s *store) apply(w write) bool {
+func (s *fakeStore) apply(w write) bool {
 	if w.revision != s.revision {
 		return false
 	}
@@ -116,11 +116,11 @@
 // is used by two, and a later holder has a higher one.
 func TestOneHolderActs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &store{}
+		s := &fakeStore{}
 		names := []string{"a", "b", "c"}
-		keepers := map[string]*Keeper{}
+		keepers := map[string]*Tracker{}
 		for _, name := range names {
-			keepers[name] = NewKeeper(name, 1, duration)
+			keepers[name] = NewTracker(name, 1, duration)
 		}
 		owner := map[int64]string{}
 		highest := int64(0)
@@ -128,7 +128,7 @@
 		for range rapid.IntRange(50, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "pause")) * time.Millisecond)
 			name := rapid.SampledFrom(names).Draw(t, "daemon")
-			act(t, s, keepers[name], now)
+			step(t, s, keepers[name], now)
 			holders := 0
 			for _, n := range names {
 				fence, holds := keepers[n].Holds(now)
@@ -152,11 +152,11 @@
 	})
 }
 
-// act lets a daemon do one thing, with whatever trouble is drawn.
-func act(t *rapid.T, s *store, k *Keeper, now time.Time) {
-	if len(s.late) > 0 && rapid.Bool().Draw(t, "late write happens") {
-		s.apply(s.late[0])
-		s.late = s.late[1:]
+// step lets a daemon do one thing, with whatever trouble is drawn.
+func step(t *rapid.T, s *fakeStore, k *Tracker, now time.Time) {
+	if len(s.delayed) > 0 && rapid.Bool().Draw(t, "late write happens") {
+		s.apply(s.delayed[0])
+		s.delayed = s.delayed[1:]
 	}
 	if rapid.Bool().Draw(t, "read") {
 		k.Observe(s.revision, s.record, now)
@@ -172,16 +172,16 @@
 	if holds && rapid.IntRange(0, 9).Draw(t, "release") == 0 {
 		record = k.Release()
 	}
-	k.Begin(record, now)
+	k.BeginWrite(record, now)
 	w := write{k.Revision(), record}
 	switch rapid.IntRange(0, 3).Draw(t, "end") {
 	case 0:
-		s.late = append(s.late, w)
+		s.delayed = append(s.delayed, w)
 	case 1:
 		s.apply(w)
 	default:
 		if s.apply(w) {
-			k.Written(s.revision, now)
+			k.WriteSucceeded(s.revision, now)
 		}
 	}
 }
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -29,11 +29,11 @@
 // modelState is one state of the world.
 type modelState struct {
 	now      time.Time
-	keepers  [modelDaemons]Keeper
+	trackers [modelDaemons]Tracker
 	revision int64
 	record   Record
-	// late is a write that the store has not carried out yet, and may.
-	late *modelWrite
+	// delayed is a write that the store has not carried out yet, and may.
+	delayed *modelWrite
 	// highest is the highest fencing number that has been held.
 	highest int64
 }
@@ -42,12 +42,12 @@
 type model struct {
 	t    *testing.T
 	seen map[string]bool
-	// wrong is what is broken first.
-	wrong string
+	// violation is what is broken first.
+	violation string
 }
 
 func (m *model) explore(s modelState, steps int) {
-	if m.wrong != "" || m.broken(&s) {
+	if m.violation != "" || m.checkInvariants(&s) {
 		return
 	}
 	key := s.key() + fmt.Sprint(steps)
@@ -58,55 +58,55 @@
 	tick := s
 	tick.now = s.now.Add(modelTick)
 	m.explore(tick, steps-1)
-	if s.late != nil {
+	if s.delayed != nil {
 		arrived := s
-		arrived.late = nil
-		arrived.carryOut(*s.late)
+		arrived.delayed = nil
+		arrived.apply(*s.delayed)
 		m.explore(arrived, steps-1)
 	}
-	for i := range s.keepers {
-		m.act(s, i, steps)
+	for i := range s.trackers {
+		m.exploreActions(s, i, steps)
 	}
 }
 
-// act lets one daemon do all that it can.
-func (m *model) act(s modelState, i, steps int) {
+// exploreActions lets one daemon do all that it can.
+func (m *model) exploreActions(s modelState, i, steps int) {
 	read := s
-	read.keepers[i].Observe(s.revision, s.record, s.now)
+	read.trackers[i].Observe(s.revision, s.record, s.now)
 	m.explore(read, steps-1)
-	if claim, ok := s.keepers[i].Claim(s.now); ok {
-		m.write(s, i, claim, steps)
+	if claim, ok := s.trackers[i].Claim(s.now); ok {
+		m.exploreWrite(s, i, claim, steps)
 	}
-	if _, holds := s.keepers[i].Holds(s.now); holds {
-		m.write(s, i, s.keepers[i].Renewal(), steps)
-		m.write(s, i, s.keepers[i].Release(), steps)
+	if _, holds := s.trackers[i].Holds(s.now); holds {
+		m.exploreWrite(s, i, s.trackers[i].Renewal(), steps)
+		m.exploreWrite(s, i, s.trackers[i].Release(), steps)
 	}
 }
 
-// write lets a write end in each way.
-func (m *model) write(s modelState, i int, record Record, steps int) {
-	s.keepers[i].Begin(record, s.now)
-	w := modelWrite{from: i, revision: s.keepers[i].Revision(), record: record}
+// exploreWrite lets a write end in each way.
+func (m *model) exploreWrite(s modelState, i int, record Record, steps int) {
+	s.trackers[i].BeginWrite(record, s.now)
+	w := modelWrite{from: i, revision: s.trackers[i].Revision(), record: record}
 	answered := s
-	if answered.carryOut(w) {
-		answered.keepers[i].Written(answered.revision, s.now)
+	if answered.apply(w) {
+		answered.trackers[i].WriteSucceeded(answered.revision, s.now)
 	} else {
-		answered.keepers[i].Observe(answered.revision, answered.record, s.now)
+		answered.trackers[i].Observe(answered.revision, answered.record, s.now)
 	}
 	m.explore(answered, steps-1)
 	silent := s
-	silent.carryOut(w)
+	silent.apply(w)
 	m.explore(silent, steps-1)
 	m.explore(s, steps-1)
-	if s.late == nil {
+	if s.delayed == nil {
 		late := s
-		late.late = &w
+		late.delayed = &w
 		m.explore(late, steps-1)
 	}
 }
 
-// carryOut applies a write if its condition holds.
-func (s *modelState) carryOut(w modelWrite) bool {
+// apply applies a write if its condition holds.
+func (s *modelState) apply(w modelWrite) bool {
 	if w.revision != s.revision {
 		return false
 	}
@@ -115,25 +115,25 @@
 	return true
 }
 
-// broken notes what may not be: two that may act, or one whose fencing number is
+// checkInvariants notes what may not be: two that may act, or one whose fencing number is
 // below one that was held before.
-func (m *model) broken(s *modelState) bool {
+func (m *model) checkInvariants(s *modelState) bool {
 	holders := 0
-	for i := range s.keepers {
-		fence, holds := s.keepers[i].Holds(s.now)
+	for i := range s.trackers {
+		fence, holds := s.trackers[i].Holds(s.now)
 		if !holds {
 			continue
 		}
 		holders++
 		if fence < s.highest {
-			m.wrong = fmt.Sprintf("daemon %d acts with %d after %d", i, fence, s.highest)
+			m.violation = fmt.Sprintf("daemon %d acts with %d after %d", i, fence, s.highest)
 		}
 		s.highest = max(s.highest, fence)
 	}
 	if holders > 1 {
-		m.wrong = "two daemons may act at once"
+		m.violation = "two daemons may act at once"
 	}
-	return m.wrong != ""
+	return m.violation != ""
 }
 
 // key tells states apart. Times count from now, so that states that differ in the
@@ -146,13 +146,13 @@
 		return min(s.now.Sub(at), 2*modelDuration)
 	}
 	key := fmt.Sprint(s.revision, s.record.Holder, s.record.Renewals, s.highest)
-	if s.late != nil {
-		key += fmt.Sprint("|", s.late.from, s.late.revision, s.late.record.Holder, s.late.record.Renewals)
+	if s.delayed != nil {
+		key += fmt.Sprint("|", s.delayed.from, s.delayed.revision, s.delayed.record.Holder, s.delayed.record.Renewals)
 	}
-	for i := range s.keepers {
-		k := &s.keepers[i]
-		key += fmt.Sprint("|", k.known, k.revision, k.record.Holder, k.record.Renewals, k.fence, max(0, k.until.Sub(s.now)),
-			ago(k.seenAt), ago(k.begunAt), k.pending.Holder, k.pending.Renewals, k.number)
+	for i := range s.trackers {
+		k := &s.trackers[i]
+		key += fmt.Sprint("|", k.recordKnown, k.revision, k.record.Holder, k.record.Renewals, k.fence, max(0, k.validUntil.Sub(s.now)),
+			ago(k.revisionSeenAt), ago(k.pendingSince), k.pendingWrite.Holder, k.pendingWrite.Renewals, k.lastWriteNumber)
 	}
 	return key
 }
@@ -161,12 +161,12 @@
 func TestModelOfTheLease(t *testing.T) {
 	m := &model{t: t, seen: map[string]bool{}}
 	s := modelState{now: time.Unix(1000, 0)}
-	for i := range s.keepers {
-		s.keepers[i] = *NewKeeper(fmt.Sprintf("vm-%d", i), uint64(i+1), modelDuration)
+	for i := range s.trackers {
+		s.trackers[i] = *NewTracker(fmt.Sprintf("vm-%d", i), uint64(i+1), modelDuration)
 	}
 	m.explore(s, modelSteps)
 	t.Logf("%d states", len(m.seen))
-	if m.wrong != "" {
-		t.Fatal(m.wrong)
+	if m.violation != "" {
+		t.Fatal(m.violation)
 	}
 }
--- a/internal/operatorapi/api.go
+++ b/internal/operatorapi/api.go
@@ -159,7 +159,7 @@
 // reached, the one in force here.
 func (a *API) current(ctx context.Context) (generation.Document, error) {
 	manifest, deployment, err := a.options.Publisher.Read(ctx)
-	if errors.Is(err, generation.ErrNone) {
+	if errors.Is(err, generation.ErrNoDeployment) {
 		return generation.Document{Deployment: &config.Deployment{}}, nil
 	}
 	if err == nil {
--- a/internal/peer/advice.go
+++ b/internal/peer/advice.go
@@ -43,6 +43,6 @@
 		return
 	}
 	if m.advice.MergeAdvice(records, time.Now()) {
-		m.Soon()
+		m.TriggerHeartbeats()
 	}
 }
--- a/internal/peer/contacts.go
+++ b/internal/peer/contacts.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// zoneContacts is the number of daemons of the own availability zone that
+	// sameZoneContacts is the number of daemons of the own availability zone that
 	// a daemon sends heartbeats to.
-	zoneContacts = 3
-	// outsideContacts is that number for each other availability zone.
-	outsideContacts = 1
+	sameZoneContacts = 3
+	// otherZoneContacts is that number for each other availability zone.
+	otherZoneContacts = 1
 )
 
 // Contacts returns the daemons that self sends heartbeats to: in its own zone
@@ -31,20 +31,20 @@
 	var contacts []vmlist.VM
 	for zone, members := range zones {
 		if zone == self.Zone {
-			contacts = append(contacts, zoneContactsOf(self, members)...)
+			contacts = append(contacts, selectZoneContacts(self, members)...)
 			continue
 		}
-		contacts = append(contacts, vmlist.Ranked(self.ID, members)[:min(outsideContacts, len(members))]...)
+		contacts = append(contacts, vmlist.RendezvousOrder(self.ID, members)[:min(otherZoneContacts, len(members))]...)
 	}
 	slices.SortFunc(contacts, func(a, b vmlist.VM) int { return cmp.Compare(a.ID, b.ID) })
 	return contacts
 }
 
-func zoneContactsOf(self vmlist.VM, members []vmlist.VM) []vmlist.VM {
+func selectZoneContacts(self vmlist.VM, members []vmlist.VM) []vmlist.VM {
 	next := ringSuccessor(self, members)
 	contacts := []vmlist.VM{next}
-	for _, member := range vmlist.Ranked(self.ID, members) {
-		if len(contacts) < zoneContacts && member.ID != next.ID {
+	for _, member := range vmlist.RendezvousOrder(self.ID, members) {
+		if len(contacts) < sameZoneContacts && member.ID != next.ID {
 			contacts = append(contacts, member)
 		}
 	}
@@ -59,8 +59,8 @@
 	})
 }
 
-// Keepers returns the daemons that keep the answer of a request whose owner
+// AnswerHolders returns the daemons that keep the answer of a request whose owner
 // has gone, the likeliest first. Every daemon computes the same order.
-func Keepers(requestID string, daemons []vmlist.VM) []vmlist.VM {
-	return vmlist.Ranked(requestID, daemons)
+func AnswerHolders(requestID string, daemons []vmlist.VM) []vmlist.VM {
+	return vmlist.RendezvousOrder(requestID, daemons)
 }
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -16,12 +16,12 @@
 // Run sends heartbeats until the context ends.
 func (m *Mesh) Run(ctx context.Context) {
 	var pulling sync.WaitGroup
-	pulling.Go(func() { m.pullLoop(ctx) })
+	pulling.Go(func() { m.runDeploymentPulls(ctx) })
 	defer pulling.Wait()
-	pulling.Go(func() { m.beatEarly(ctx) })
+	pulling.Go(func() { m.runTriggeredHeartbeats(ctx) })
 	for ctx.Err() == nil {
 		changed := m.follower.Changed()
-		m.beat(ctx)
+		m.sendHeartbeats(ctx)
 		jitter := time.Duration(mathrand.Int64N(int64(heartbeatInterval / 4)))
 		select {
 		case <-time.After(heartbeatInterval - heartbeatInterval/8 + jitter):
@@ -31,139 +31,139 @@
 	}
 }
 
-// beat sends one heartbeat to each contact.
-func (m *Mesh) beat(ctx context.Context) {
+// sendHeartbeats sends one heartbeat to each contact.
+func (m *Mesh) sendHeartbeats(ctx context.Context) {
 	var calls sync.WaitGroup
 	for _, contact := range Contacts(m.self, m.Daemons()) {
-		calls.Go(func() { m.beatOne(ctx, contact) })
+		calls.Go(func() { m.sendHeartbeat(ctx, contact) })
 	}
-	if owner, ok := m.nextOwner(); ok {
-		calls.Go(func() { m.beatOne(ctx, owner) })
+	if owner, ok := m.nextCopyOwner(); ok {
+		calls.Go(func() { m.sendHeartbeat(ctx, owner) })
 	}
 	calls.Wait()
 }
 
-// nextOwner returns, in turn, one of the daemons whose requests this one keeps
+// nextCopyOwner returns, in turn, one of the daemons whose requests this one keeps
 // copies of. It need not be a contact, and only it can tell that it has been
 // replaced by a newer process.
-func (m *Mesh) nextOwner() (vmlist.VM, bool) {
+func (m *Mesh) nextCopyOwner() (vmlist.VM, bool) {
 	owners := m.copies.Owners()
 	if len(owners) == 0 {
 		return vmlist.VM{}, false
 	}
-	m.ownerTurn++
-	return m.daemon(owners[m.ownerTurn%len(owners)])
+	m.ownerIndex++
+	return m.findDaemon(owners[m.ownerIndex%len(owners)])
 }
 
-func (m *Mesh) beatOne(ctx context.Context, contact vmlist.VM) {
+func (m *Mesh) sendHeartbeat(ctx context.Context, contact vmlist.VM) {
 	client, err := m.client(contact)
 	if err != nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	asked := m.now()
+	asked := m.nextLogicalTime()
 	reply, err := client.Heartbeat(ctx, &peerpb.HeartbeatRequest{
 		DaemonId:    m.self.ID,
 		Zone:        m.self.Zone,
 		Incarnation: m.incarnation,
 		Generation:  m.follower.Generation(),
-		Held:        m.tellHeld(),
+		Held:        m.encodeHeld(),
 		Advice:      m.encodeAdvice(),
 	})
 	if err != nil {
 		m.logger.Debug("heartbeat failed", "peer", contact.ID, "error", err)
 		return
 	}
-	m.answered(process{reply.GetDaemonId(), reply.GetIncarnation()}, asked)
-	m.heard(reply.GetDaemonId(), reply.GetIncarnation(), reply.GetGeneration())
-	m.hearHeld(reply.GetDaemonId(), reply.GetHeld())
+	m.recordReply(process{reply.GetDaemonId(), reply.GetIncarnation()}, asked)
+	m.handlePeerState(reply.GetDaemonId(), reply.GetIncarnation(), reply.GetGeneration())
+	m.mergeHeld(reply.GetDaemonId(), reply.GetHeld())
 	m.mergeAdvice(reply.GetDaemonId(), reply.GetAdvice())
 }
 
-// heard takes over what a peer has said of itself.
-func (m *Mesh) heard(id string, incarnation uint64, generation int64) {
-	m.learn(process{id, incarnation})
+// handlePeerState takes over what a peer has said of itself.
+func (m *Mesh) handlePeerState(id string, incarnation uint64, generation int64) {
+	m.recordProcess(process{id, incarnation})
 	if generation <= m.follower.Generation() {
 		return
 	}
 	select {
-	case m.pulls <- id:
+	case m.pullTargets <- id:
 	default:
 	}
 }
 
-// learn remembers that a process has existed.
-func (m *Mesh) learn(p process) {
+// recordProcess remembers that a process has existed.
+func (m *Mesh) recordProcess(p process) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.learnLocked(p)
+	m.recordProcessLocked(p)
 }
 
-func (m *Mesh) learnLocked(p process) {
-	if _, known := m.learned[p]; !known {
-		m.moment++
-		m.learned[p] = m.moment
+func (m *Mesh) recordProcessLocked(p process) {
+	if _, known := m.firstSeen[p]; !known {
+		m.logicalTime++
+		m.firstSeen[p] = m.logicalTime
 	}
 }
 
-// now returns the present moment, later than all that has been learnt.
-func (m *Mesh) now() int64 {
+// nextLogicalTime returns the present moment, later than all that has been learnt.
+func (m *Mesh) nextLogicalTime() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.moment++
-	return m.moment
+	m.logicalTime++
+	return m.logicalTime
 }
 
-// answered takes over which process has answered a call that began at asked. A
+// recordReply takes over which process has answered a call that began at asked. A
 // process of the same daemon that was known before the call is dead, since only
 // one listens at the address. What a message tells that comes in by itself
 // proves nothing: it may be handled long after its sender has been replaced.
-func (m *Mesh) answered(p process, asked int64) {
+func (m *Mesh) recordReply(p process, asked int64) {
 	m.mu.Lock()
 	replaced := false
-	for other, learned := range m.learned {
-		if other.daemon == p.daemon && other != p && learned < asked && !m.before[other] {
-			m.before[other] = true
+	for other, learned := range m.firstSeen {
+		if other.daemon == p.daemon && other != p && learned < asked && !m.replaced[other] {
+			m.replaced[other] = true
 			replaced = true
 		}
 	}
-	m.learnLocked(p)
+	m.recordProcessLocked(p)
 	m.mu.Unlock()
 	if replaced {
 		m.logger.Info("peer has restarted", "peer", p.daemon)
-		go m.inherit()
+		go m.adoptOrphanedCopies()
 	}
 }
 
-// pullLoop fetches the deployment from peers that have a higher generation.
-func (m *Mesh) pullLoop(ctx context.Context) {
+// runDeploymentPulls fetches the deployment from peers that have a higher generation.
+func (m *Mesh) runDeploymentPulls(ctx context.Context) {
 	for {
 		select {
-		case id := <-m.pulls:
-			m.pull(ctx, id)
+		case id := <-m.pullTargets:
+			m.pullDeployment(ctx, id)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// pull fetches from one peer. The heartbeat that asked for it is a reason to
+// pullDeployment fetches from one peer. The heartbeat that asked for it is a reason to
 // look; what the peer sends decides.
-func (m *Mesh) pull(ctx context.Context, id string) {
-	vm, ok := m.daemon(id)
+func (m *Mesh) pullDeployment(ctx context.Context, id string) {
+	vm, ok := m.findDaemon(id)
 	if !ok {
 		return
 	}
-	err := m.follower.FromPeer(ctx, m.follower.Generation()+1, func(ctx context.Context, known []string) (generation.Bundle, error) {
-		return m.fetch(ctx, vm, known)
+	err := m.follower.ApplyFromPeer(ctx, m.follower.Generation()+1, func(ctx context.Context, known []string) (generation.Bundle, error) {
+		return m.fetchDeployment(ctx, vm, known)
 	})
 	if err != nil {
 		m.logger.Warn("cannot take over the deployment of a peer", "peer", id, "error", err)
 	}
 }
 
-func (m *Mesh) daemon(id string) (vmlist.VM, bool) {
+func (m *Mesh) findDaemon(id string) (vmlist.VM, bool) {
 	for _, daemon := range m.Daemons() {
 		if daemon.ID == id {
 			return daemon, true
@@ -172,7 +172,7 @@
 	return vmlist.VM{}, false
 }
 
-func (m *Mesh) fetch(ctx context.Context, vm vmlist.VM, known []string) (generation.Bundle, error) {
+func (m *Mesh) fetchDeployment(ctx context.Context, vm vmlist.VM, known []string) (generation.Bundle, error) {
 	client, err := m.client(vm)
 	if err != nil {
 		return generation.Bundle{}, err
--- a/internal/peer/held.go
+++ b/internal/peer/held.go
@@ -9,37 +9,37 @@
 	"github.com/plankridge/plankridge/internal/quarantine"
 )
 
-// EarlyRound is how long it takes until contacts have told each other what is worth an early
+// TriggeredHeartbeatDelay is how long it takes until contacts have told each other what is worth an early
 // heartbeat: each waits up to 0.2 s for what else comes, and a call takes some milliseconds.
-const EarlyRound = 250 * time.Millisecond
+const TriggeredHeartbeatDelay = 250 * time.Millisecond
 
-// Soon lets heartbeats go out at once.
-func (m *Mesh) Soon() {
+// TriggerHeartbeats lets heartbeats go out at once.
+func (m *Mesh) TriggerHeartbeats() {
 	select {
-	case m.early <- struct{}{}:
+	case m.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// beatEarly sends the heartbeats that are asked for. Each is sent beside those that wait for a
+// runTriggeredHeartbeats sends the heartbeats that are asked for. Each is sent beside those that wait for a
 // contact that does not answer, for callTimeout at most.
-func (m *Mesh) beatEarly(ctx context.Context) {
+func (m *Mesh) runTriggeredHeartbeats(ctx context.Context) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	for {
 		select {
-		case <-m.early:
+		case <-m.trigger:
 		case <-ctx.Done():
 			return
 		}
 		for _, contact := range Contacts(m.self, m.Daemons()) {
-			calls.Go(func() { m.beatOne(ctx, contact) })
+			calls.Go(func() { m.sendHeartbeat(ctx, contact) })
 		}
 	}
 }
 
-// tellHeld encodes what this daemon knows of requests that end servers.
-func (m *Mesh) tellHeld() []byte {
+// encodeHeld encodes what this daemon knows of requests that end servers.
+func (m *Mesh) encodeHeld() []byte {
 	if m.quarantine == nil {
 		return nil
 	}
@@ -54,8 +54,8 @@
 	return told
 }
 
-// hearHeld takes over what a peer knows of requests that end servers.
-func (m *Mesh) hearHeld(peer string, told []byte) {
+// mergeHeld takes over what a peer knows of requests that end servers.
+func (m *Mesh) mergeHeld(peer string, told []byte) {
 	if m.quarantine == nil || len(told) == 0 {
 		return
 	}
--- a/internal/peer/keys.go
+++ b/internal/peer/keys.go
@@ -26,11 +26,11 @@
 }
 
 // Dead implements keys.Peers.
-func (p *KeyPeers) Dead(holder keys.Holder) bool { return p.Mesh.dead(holder.Owner()) }
+func (p *KeyPeers) Dead(holder keys.Holder) bool { return p.Mesh.ownerIsDead(holder.Owner()) }
 
 // SelfListed implements keys.Peers.
 func (p *KeyPeers) SelfListed() (int64, bool) {
-	revision := p.Mesh.selfListed()
+	revision := p.Mesh.selfListedRevision()
 	return revision, revision != neverListed
 }
 
@@ -64,23 +64,23 @@
 	}
 	err = eris.New("no daemon can be asked")
 	for _, name := range daemons {
-		vm, known := p.Mesh.daemon(name)
+		vm, known := p.Mesh.findDaemon(name)
 		if !known || vm.State == vmlist.VMLeaving {
 			continue
 		}
-		if err = p.keepAt(ctx, vm, raw); err == nil {
+		if err = p.keepKeysAt(ctx, vm, raw); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-func (p *KeyPeers) keepAt(ctx context.Context, vm vmlist.VM, raw []byte) error {
+func (p *KeyPeers) keepKeysAt(ctx context.Context, vm vmlist.VM, raw []byte) error {
 	client, err := p.Mesh.client(vm)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	_, err = client.KeepKeys(ctx, &peerpb.KeepKeysRequest{Records: raw})
 	return eris.Wrap(err, "keep records at peer")
@@ -88,7 +88,7 @@
 
 // Collect implements keys.Peers.
 func (p *KeyPeers) Collect(ctx context.Context, holder keys.Holder) ([]keys.Record, error) {
-	vm, known := p.Mesh.daemon(holder.Daemon)
+	vm, known := p.Mesh.findDaemon(holder.Daemon)
 	if !known {
 		return nil, eris.Errorf("daemon %s is not listed", holder.Daemon)
 	}
@@ -113,8 +113,8 @@
 // Forward implements keys.Peers. An error means that the holder may have
 // accepted the request; a holder that does not answer a probe has not.
 func (p *KeyPeers) Forward(ctx context.Context, holder keys.Holder, spec request.Spec) (keys.Result, error) {
-	vm, known := p.Mesh.daemon(holder.Daemon)
-	if !known || !p.Mesh.answers(ctx, vm) {
+	vm, known := p.Mesh.findDaemon(holder.Daemon)
+	if !known || !p.Mesh.isReachable(ctx, vm) {
 		return keys.Away("the home of this key cannot be reached"), nil
 	}
 	raw, err := json.Marshal(spec)
@@ -151,7 +151,7 @@
 func (m *Mesh) isListed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.listed
+	return m.daemonsListed
 }
 
 // SubmitKeyed implements peerpb.PeerServer.
--- a/internal/peer/locate.go
+++ b/internal/peer/locate.go
@@ -22,7 +22,7 @@
 func (m *Mesh) Locate(ctx context.Context, id request.ID) (*Remote, error) {
 	holders := m.holders(id)
 	failed := error(dispatch.ErrNotFound)
-	for wave := locateWave; len(holders) > 0; wave *= locateWave {
+	for wave := locateBatchSize; len(holders) > 0; wave *= locateBatchSize {
 		asked := holders[:min(wave, len(holders))]
 		holders = holders[len(asked):]
 		remote, err := m.askAll(ctx, asked, id)
@@ -34,7 +34,7 @@
 		}
 	}
 	if errors.Is(failed, dispatch.ErrNotFound) && m.copies.Has(id) {
-		return nil, errOwnerSilent
+		return nil, errOwnerUnreachable
 	}
 	return nil, failed
 }
@@ -46,7 +46,7 @@
 	errs := make([]error, len(daemons))
 	var calls sync.WaitGroup
 	for i, vm := range daemons {
-		calls.Go(func() { remotes[i], errs[i] = m.ask(ctx, vm, id) })
+		calls.Go(func() { remotes[i], errs[i] = m.askDaemon(ctx, vm, id) })
 	}
 	calls.Wait()
 	failed := error(dispatch.ErrNotFound)
@@ -65,7 +65,7 @@
 // the one that accepted it, then its keepers.
 func (m *Mesh) holders(id request.ID) []vmlist.VM {
 	var holders []vmlist.VM
-	for _, daemon := range Keepers(string(id), m.Daemons()) {
+	for _, daemon := range AnswerHolders(string(id), m.Daemons()) {
 		switch {
 		case daemon.ID == m.self.ID:
 		case request.DaemonTag(daemon.ID) == id.Tag():
@@ -77,7 +77,7 @@
 	return holders
 }
 
-func (m *Mesh) ask(ctx context.Context, vm vmlist.VM, id request.ID) (*Remote, error) {
+func (m *Mesh) askDaemon(ctx context.Context, vm vmlist.VM, id request.ID) (*Remote, error) {
 	client, err := m.client(vm)
 	if err != nil {
 		return nil, err
@@ -102,7 +102,7 @@
 	defer cancel()
 	reply, err := r.client.GetRequest(ctx, &peerpb.GetRequestRequest{RequestId: string(r.id)})
 	if err != nil {
-		return dispatch.Status{}, notFound(err)
+		return dispatch.Status{}, locateError(err)
 	}
 	spec, err := decodeSpec(reply.GetSpec())
 	return dispatch.Status{
@@ -118,12 +118,12 @@
 func (r *Remote) Follow(ctx context.Context, after int, sink func(dispatch.Event) error) error {
 	stream, err := r.client.FollowRequest(ctx, &peerpb.FollowRequestRequest{RequestId: string(r.id), After: int32(after)})
 	if err != nil {
-		return notFound(err)
+		return locateError(err)
 	}
 	for {
 		wire, err := stream.Recv()
 		if err != nil {
-			return notFound(err)
+			return locateError(err)
 		}
 		if wire.GetRequestId() != string(r.id) {
 			return eris.New("peer sent an event of another request")
@@ -138,7 +138,7 @@
 	}
 }
 
-func notFound(err error) error {
+func locateError(err error) error {
 	if status.Code(err) == codes.NotFound {
 		return dispatch.ErrNotFound
 	}
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -30,21 +30,21 @@
 	// heartbeatInterval is the time between two heartbeats to a contact. A new
 	// generation is told at once.
 	heartbeatInterval = 2 * time.Second
-	// tryTimeout bounds one try of a copy or a hand-over, before the next
+	// attemptTimeout bounds one try of a copy or a hand-over, before the next
 	// daemon is asked.
-	tryTimeout = 500 * time.Millisecond
+	attemptTimeout = 500 * time.Millisecond
 	// callTimeout bounds a short call to a peer.
 	callTimeout = 2 * time.Second
-	// MaxMessage bounds a message between daemons, in bytes.
-	MaxMessage = 32 << 20
-	// locateWave is the number of daemons that are first asked for a request;
+	// MaxMessageBytes bounds a message between daemons, in bytes.
+	MaxMessageBytes = 32 << 20
+	// locateBatchSize is the number of daemons that are first asked for a request;
 	// each further wave is that many times larger.
-	locateWave = 4
+	locateBatchSize = 4
 )
 
-// errOwnerSilent means that this daemon keeps a copy of a request whose owner
+// errOwnerUnreachable means that this daemon keeps a copy of a request whose owner
 // does not answer and is not proved dead.
-var errOwnerSilent = errors.New("owner of the request does not answer")
+var errOwnerUnreachable = errors.New("owner of the request does not answer")
 
 // Options are what a Mesh works with.
 type Options struct {
@@ -69,35 +69,35 @@
 	follower    *generation.Follower
 	logger      *slog.Logger
 	incarnation uint64
-	pulls       chan string
+	pullTargets chan string
 	quarantine  *watch.Watch
 	advice      Advice
-	// early asks for heartbeats at once.
-	early chan struct{}
+	// trigger asks for heartbeats at once.
+	trigger chan struct{}
 
-	copies *backup.Store
-	heir   Heir
-	// ownerTurn counts the checked owners of copies; only Run uses it.
-	ownerTurn int
+	copies  *backup.Store
+	adopter Adopter
+	// ownerIndex counts the checked owners of copies; only Run uses it.
+	ownerIndex int
 
 	mu      sync.Mutex
 	daemons []vmlist.VM
-	// listed is true once the daemons are known, as of revision of the VM
-	// list; selfAt is the first revision that showed this daemon.
-	listed   bool
-	revision int64
-	selfAt   int64
-	conns    map[string]*connection
-	closed   bool
+	// daemonsListed is true once the daemons are known, as of revision of the VM
+	// list; selfListedAt is the first revision that showed this daemon.
+	daemonsListed bool
+	revision      int64
+	selfListedAt  int64
+	conns         map[string]*connection
+	closed        bool
 	// learned is the moment at which this daemon first heard of a process, before
 	// holds the processes that are proved to be replaced.
-	moment  int64
-	learned map[process]int64
-	before  map[process]bool
+	logicalTime int64
+	firstSeen   map[process]int64
+	replaced    map[process]bool
 }
 
-// errClosed means that the daemon speaks to its peers no more.
-var errClosed = errors.New("peers are closed")
+// errMeshClosed means that the daemon speaks to its peers no more.
+var errMeshClosed = errors.New("peers are closed")
 
 // neverListed stands for a daemon that the VM list has not shown yet.
 const neverListed = math.MaxInt64
@@ -119,57 +119,57 @@
 	var random [8]byte
 	_, _ = rand.Read(random[:])
 	return &Mesh{
-		self:        options.Self,
-		network:     options.Network,
-		credentials: options.Credentials,
-		follower:    options.Follower,
-		logger:      options.Logger,
-		incarnation: binary.LittleEndian.Uint64(random[:]),
-		pulls:       make(chan string, 1),
-		quarantine:  options.Quarantine,
-		advice:      options.Advice,
-		early:       make(chan struct{}, 1),
-		conns:       map[string]*connection{},
-		learned:     map[process]int64{},
-		before:      map[process]bool{},
-		copies:      options.Copies,
-		selfAt:      neverListed,
+		self:         options.Self,
+		network:      options.Network,
+		credentials:  options.Credentials,
+		follower:     options.Follower,
+		logger:       options.Logger,
+		incarnation:  binary.LittleEndian.Uint64(random[:]),
+		pullTargets:  make(chan string, 1),
+		quarantine:   options.Quarantine,
+		advice:       options.Advice,
+		trigger:      make(chan struct{}, 1),
+		conns:        map[string]*connection{},
+		firstSeen:    map[process]int64{},
+		replaced:     map[process]bool{},
+		copies:       options.Copies,
+		selfListedAt: neverListed,
 	}
 }
 
-// SetHeir sets what takes over the requests of dead daemons. It is called
+// SetAdopter sets what takes over the requests of dead daemons. It is called
 // before Run.
-func (m *Mesh) SetHeir(heir Heir) { m.heir = heir }
+func (m *Mesh) SetAdopter(heir Adopter) { m.adopter = heir }
 
 // SetDaemons takes over the daemons of the VM list as of a revision.
 func (m *Mesh) SetDaemons(daemons []vmlist.VM, revision int64) {
 	m.replaceDaemons(daemons)
 	m.noteRevision(daemons, revision)
-	m.inherit()
+	m.adoptOrphanedCopies()
 }
 
 func (m *Mesh) noteRevision(daemons []vmlist.VM, revision int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.listed = true
+	m.daemonsListed = true
 	m.revision = revision
 	for _, daemon := range daemons {
-		if daemon.ID == m.self.ID && m.selfAt == neverListed {
-			m.selfAt = revision
+		if daemon.ID == m.self.ID && m.selfListedAt == neverListed {
+			m.selfListedAt = revision
 		}
 	}
 }
 
-// selfListed returns a revision of the VM list that shows this daemon, or
+// selfListedRevision returns a revision of the VM list that shows this daemon, or
 // neverListed.
-func (m *Mesh) selfListed() int64 {
+func (m *Mesh) selfListedRevision() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.selfAt
+	return m.selfListedAt
 }
 
 // SelfListed reports whether the VM list shows this daemon's VM.
-func (m *Mesh) SelfListed() bool { return m.selfListed() != neverListed }
+func (m *Mesh) SelfListed() bool { return m.selfListedRevision() != neverListed }
 
 func (m *Mesh) replaceDaemons(daemons []vmlist.VM) {
 	m.mu.Lock()
@@ -203,7 +203,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
-		return nil, errClosed
+		return nil, errMeshClosed
 	}
 	if c, ok := m.conns[vm.ID]; ok {
 		return peerpb.NewPeerClient(c.conn), nil
@@ -213,7 +213,7 @@
 		grpc.WithContextDialer(func(ctx context.Context, address string) (net.Conn, error) {
 			return m.network.Dial(ctx, address)
 		}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MaxMessage), grpc.MaxCallSendMsgSize(MaxMessage)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MaxMessageBytes), grpc.MaxCallSendMsgSize(MaxMessageBytes)),
 		grpc.WithIdleTimeout(0),
 	)
 	if err != nil {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -26,7 +26,7 @@
 	"github.com/plankridge/plankridge/internal/vmlist"
 )
 
-func fleetOf(count, zones int) []vmlist.VM {
+func makeDaemons(count, zones int) []vmlist.VM {
 	var daemons []vmlist.VM
 	for i := range count {
 		daemons = append(daemons, vmlist.VM{ID: fmt.Sprintf("d%03d", i), Zone: fmt.Sprintf("z%d", i%zones)})
@@ -37,7 +37,7 @@
 func TestContactsAreBoundedAndConnected(t *testing.T) {
 	c := qt.New(t)
 	for _, size := range []int{2, 6, 8, 40, 330} {
-		daemons := fleetOf(size, 7)
+		daemons := makeDaemons(size, 7)
 		reached := map[string]bool{daemons[0].ID: true}
 		frontier := []vmlist.VM{daemons[0]}
 		rounds := 0
@@ -45,7 +45,7 @@
 			var next []vmlist.VM
 			for _, daemon := range frontier {
 				contacts := Contacts(daemon, daemons)
-				c.Assert(len(contacts) <= zoneContacts+6*outsideContacts, qt.IsTrue)
+				c.Assert(len(contacts) <= sameZoneContacts+6*otherZoneContacts, qt.IsTrue)
 				for _, contact := range contacts {
 					c.Assert(contact.ID, qt.Not(qt.Equals), daemon.ID)
 					if !reached[contact.ID] {
@@ -62,16 +62,16 @@
 	}
 }
 
-func TestKeepersAgree(t *testing.T) {
+func TestAnswerHoldersAgree(t *testing.T) {
 	c := qt.New(t)
-	daemons := fleetOf(12, 3)
+	daemons := makeDaemons(12, 3)
 	id := string(request.NewID("d000", [16]byte{1}))
-	first := Keepers(id, daemons)
+	first := AnswerHolders(id, daemons)
 	reversed := make([]vmlist.VM, 0, len(daemons))
 	for i := len(daemons) - 1; i >= 0; i-- {
 		reversed = append(reversed, daemons[i])
 	}
-	c.Check(Keepers(id, reversed), qt.DeepEquals, first)
+	c.Check(AnswerHolders(id, reversed), qt.DeepEquals, first)
 }
 
 // authority issues certificates into a folder.
@@ -214,7 +214,7 @@
 	m := NewMesh(Options{Self: vmlist.VM{ID: "a"}, Network: memnet.New().Host("10.0.0.1"), Copies: backup.NewStore(1)})
 	m.Close()
 	_, err := m.client(vmlist.VM{ID: "b", Address: "10.0.0.2:9080"})
-	c.Check(err, qt.ErrorIs, errClosed)
+	c.Check(err, qt.ErrorIs, errMeshClosed)
 }
 
 // TestLateMessageProvesNoDeath handles a message of a replaced process after
@@ -223,19 +223,19 @@
 	c := qt.New(t)
 	m := NewMesh(Options{Self: vmlist.VM{ID: "self"}, Copies: backup.NewStore(1), Logger: slog.New(slog.DiscardHandler)})
 	old, successor := backup.Owner{Daemon: "d", Incarnation: 1}, backup.Owner{Daemon: "d", Incarnation: 2}
-	m.answered(process{"d", 2}, m.now())
-	m.learn(process{"d", 1}) // sent before the restart, handled now
-	c.Check(m.dead(successor), qt.IsFalse)
-	c.Check(m.dead(old), qt.IsFalse)
-
-	begun := m.now()
-	m.learn(process{"d", 3}) // a copy of a newer process, while the call is under way
-	m.answered(process{"d", 2}, begun)
-	c.Check(m.dead(backup.Owner{Daemon: "d", Incarnation: 3}), qt.IsFalse)
-	c.Check(m.dead(old), qt.IsTrue)
-
-	m.answered(process{"d", 3}, m.now())
-	c.Check(m.dead(successor), qt.IsTrue)
-	c.Check(m.dead(backup.Owner{Daemon: "self", Incarnation: m.incarnation + 1}), qt.IsTrue)
-	c.Check(m.dead(backup.Owner{Daemon: "self", Incarnation: m.incarnation}), qt.IsFalse)
+	m.recordReply(process{"d", 2}, m.nextLogicalTime())
+	m.recordProcess(process{"d", 1}) // sent before the restart, handled now
+	c.Check(m.ownerIsDead(successor), qt.IsFalse)
+	c.Check(m.ownerIsDead(old), qt.IsFalse)
+
+	begun := m.nextLogicalTime()
+	m.recordProcess(process{"d", 3}) // a copy of a newer process, while the call is under way
+	m.recordReply(process{"d", 2}, begun)
+	c.Check(m.ownerIsDead(backup.Owner{Daemon: "d", Incarnation: 3}), qt.IsFalse)
+	c.Check(m.ownerIsDead(old), qt.IsTrue)
+
+	m.recordReply(process{"d", 3}, m.nextLogicalTime())
+	c.Check(m.ownerIsDead(successor), qt.IsTrue)
+	c.Check(m.ownerIsDead(backup.Owner{Daemon: "self", Incarnation: m.incarnation + 1}), qt.IsTrue)
+	c.Check(m.ownerIsDead(backup.Owner{Daemon: "self", Incarnation: m.incarnation}), qt.IsFalse)
 }
--- a/internal/peer/replicator.go
+++ b/internal/peer/replicator.go
@@ -15,15 +15,15 @@
 	"github.com/plankridge/plankridge/internal/vmlist"
 )
 
-// backupTries is the number of daemons asked to keep a copy.
-const backupTries = 4
+// maxBackupAttempts is the number of daemons asked to keep a copy.
+const maxBackupAttempts = 4
 
 // backups returns the daemons that may keep a copy, the best first: those in
 // another availability zone, in the order of the request's keepers, then those
 // of the own zone. Leaving daemons are left out.
 func (m *Mesh) backups(id request.ID) []vmlist.VM {
 	var outside, inside []vmlist.VM
-	for _, daemon := range Keepers(string(id), m.Daemons()) {
+	for _, daemon := range AnswerHolders(string(id), m.Daemons()) {
 		switch {
 		case daemon.ID == m.self.ID || daemon.State == vmlist.VMLeaving:
 		case daemon.Zone == m.self.Zone:
@@ -43,7 +43,7 @@
 	return &peerpb.CopyRequestRequest{
 		OwnerId:          m.self.ID,
 		OwnerIncarnation: m.incarnation,
-		OwnerListed:      m.selfListed(),
+		OwnerListed:      m.selfListedRevision(),
 		RequestId:        string(c.Spec.ID),
 		Spec:             raw,
 		Offset:           int32(c.Offset),
@@ -60,7 +60,7 @@
 	}
 	err = eris.New("no other daemon is known")
 	for i, vm := range m.backups(c.Spec.ID) {
-		if i == backupTries {
+		if i == maxBackupAttempts {
 			break
 		}
 		if err = m.sendCopy(ctx, vm, message); err == nil {
@@ -72,7 +72,7 @@
 
 // Extend implements dispatch.Replicator.
 func (m *Mesh) Extend(ctx context.Context, backupID string, c dispatch.Copy) error {
-	return m.sendTo(ctx, backupID, &peerpb.CopyRequestRequest{
+	return m.sendToBackup(ctx, backupID, &peerpb.CopyRequestRequest{
 		OwnerId: m.self.ID, OwnerIncarnation: m.incarnation,
 		RequestId: string(c.Spec.ID), Offset: int32(c.Offset), Tokens: c.Tokens,
 	})
@@ -80,11 +80,11 @@
 
 // Release implements dispatch.Replicator.
 func (m *Mesh) Release(ctx context.Context, backupID string, id request.ID) error {
-	return m.sendTo(ctx, backupID, &peerpb.CopyRequestRequest{RequestId: string(id), Release: true})
+	return m.sendToBackup(ctx, backupID, &peerpb.CopyRequestRequest{RequestId: string(id), Release: true})
 }
 
-func (m *Mesh) sendTo(ctx context.Context, backupID string, message *peerpb.CopyRequestRequest) error {
-	vm, ok := m.daemon(backupID)
+func (m *Mesh) sendToBackup(ctx context.Context, backupID string, message *peerpb.CopyRequestRequest) error {
+	vm, ok := m.findDaemon(backupID)
 	if !ok {
 		return eris.Errorf("backup %s is gone", backupID)
 	}
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	_, err = client.CopyRequest(ctx, message)
 	return eris.Wrap(err, "copy request to peer")
@@ -113,12 +113,12 @@
 	}
 	message := &peerpb.TakeOverRequest{Spec: raw, Tokens: c.Tokens}
 	targets := m.backups(c.Spec.ID)
-	if vm, ok := m.daemon(backupID); ok && vm.State != vmlist.VMLeaving {
+	if vm, ok := m.findDaemon(backupID); ok && vm.State != vmlist.VMLeaving {
 		targets = append([]vmlist.VM{vm}, targets...)
 	}
 	err = eris.New("no other daemon is known")
 	for _, vm := range targets {
-		if !c.Spec.Idempotent() && !m.answers(ctx, vm) {
+		if !c.Spec.Idempotent() && !m.isReachable(ctx, vm) {
 			continue
 		}
 		err = m.takeOverAt(ctx, vm, message)
@@ -130,13 +130,13 @@
 	return err
 }
 
-// answers reports whether a daemon can be reached now.
-func (m *Mesh) answers(ctx context.Context, vm vmlist.VM) bool {
+// isReachable reports whether a daemon can be reached now.
+func (m *Mesh) isReachable(ctx context.Context, vm vmlist.VM) bool {
 	client, err := m.client(vm)
 	if err != nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	_, err = client.GetStatus(ctx, &peerpb.GetStatusRequest{})
 	return err == nil
@@ -147,7 +147,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	_, err = client.TakeOver(ctx, message)
 	return eris.Wrap(err, "hand request over")
@@ -162,14 +162,14 @@
 	message := &peerpb.HoldAnswerRequest{Spec: raw, Tokens: tokens, Last: toWire(spec.ID, last)}
 	err = eris.New("no other daemon is known")
 	for _, vm := range m.backups(spec.ID) {
-		if err = m.holdAt(ctx, vm, message); err == nil {
+		if err = m.holdAnswerAt(ctx, vm, message); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-func (m *Mesh) holdAt(ctx context.Context, vm vmlist.VM, message *peerpb.HoldAnswerRequest) error {
+func (m *Mesh) holdAnswerAt(ctx context.Context, vm vmlist.VM, message *peerpb.HoldAnswerRequest) error {
 	client, err := m.client(vm)
 	if err != nil {
 		return err
@@ -180,34 +180,34 @@
 	return eris.Wrap(err, "hold answer at peer")
 }
 
-// Heir runs what dead owners have left.
-type Heir interface {
+// Adopter runs what dead owners have left.
+type Adopter interface {
 	// Adopt makes this daemon the owner of a request.
 	Adopt(spec request.Spec, tokens []string) error
-	// Bury records that a request may have run and that its answer is lost.
-	Bury(spec request.Spec)
+	// RecordLost records that a request may have run and that its answer is lost.
+	RecordLost(spec request.Spec)
 }
 
-// inherit takes over the copies whose owners are proved dead: their VM is not
+// adoptOrphanedCopies takes over the copies whose owners are proved dead: their VM is not
 // in the VM list any more, or a newer process has answered in its place.
-func (m *Mesh) inherit() {
-	if m.heir == nil {
+func (m *Mesh) adoptOrphanedCopies() {
+	if m.adopter == nil {
 		return
 	}
-	for _, c := range m.copies.TakeIf(m.dead) {
+	for _, c := range m.copies.TakeIf(m.ownerIsDead) {
 		if c.Permitted {
-			m.heir.Bury(c.Spec)
+			m.adopter.RecordLost(c.Spec)
 			continue
 		}
 		c.Spec = c.Spec.NextRun(len(c.Tokens))
-		if err := m.heir.Adopt(c.Spec, c.Tokens); err != nil {
-			m.passOn(c)
+		if err := m.adopter.Adopt(c.Spec, c.Tokens); err != nil {
+			m.handOverCopy(c)
 		}
 	}
 }
 
-// passOn hands a copy to another daemon, because this one is leaving too.
-func (m *Mesh) passOn(c backup.Copy) {
+// handOverCopy hands a copy to another daemon, because this one is leaving too.
+func (m *Mesh) handOverCopy(c backup.Copy) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	if err := m.TakeOver(ctx, "", dispatch.Copy{Spec: c.Spec, Tokens: c.Tokens}); err != nil {
@@ -215,18 +215,18 @@
 	}
 }
 
-func (m *Mesh) dead(owner backup.Owner) bool {
+func (m *Mesh) ownerIsDead(owner backup.Owner) bool {
 	if owner.Daemon == m.self.ID && owner.Incarnation != m.incarnation {
 		// This process listens where the owner did.
 		return true
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.learnLocked(process{owner.Daemon, owner.Incarnation})
-	if m.before[process{owner.Daemon, owner.Incarnation}] {
+	m.recordProcessLocked(process{owner.Daemon, owner.Incarnation})
+	if m.replaced[process{owner.Daemon, owner.Incarnation}] {
 		return true
 	}
-	if !m.listed || m.revision < owner.Listed {
+	if !m.daemonsListed || m.revision < owner.Listed {
 		return false
 	}
 	for _, daemon := range m.daemons {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -35,14 +35,14 @@
 
 // Heartbeat implements peerpb.PeerServer.
 func (s *Server) Heartbeat(_ context.Context, in *peerpb.HeartbeatRequest) (*peerpb.HeartbeatResponse, error) {
-	s.mesh.heard(in.GetDaemonId(), in.GetIncarnation(), in.GetGeneration())
-	s.mesh.hearHeld(in.GetDaemonId(), in.GetHeld())
+	s.mesh.handlePeerState(in.GetDaemonId(), in.GetIncarnation(), in.GetGeneration())
+	s.mesh.mergeHeld(in.GetDaemonId(), in.GetHeld())
 	s.mesh.mergeAdvice(in.GetDaemonId(), in.GetAdvice())
 	return &peerpb.HeartbeatResponse{
 		DaemonId:    s.mesh.self.ID,
 		Incarnation: s.mesh.incarnation,
 		Generation:  s.follower.Generation(),
-		Held:        s.mesh.tellHeld(),
+		Held:        s.mesh.encodeHeld(),
 		Advice:      s.mesh.encodeAdvice(),
 	}, nil
 }
@@ -63,7 +63,7 @@
 func (s *Server) find(id string) (*dispatch.Flight, error) {
 	flight, err := s.dispatcher.Find(request.ID(id))
 	if errors.Is(err, dispatch.ErrNotFound) && s.mesh.copies.Has(request.ID(id)) {
-		return nil, status.Error(codes.Unavailable, errOwnerSilent.Error())
+		return nil, status.Error(codes.Unavailable, errOwnerUnreachable.Error())
 	}
 	if errors.Is(err, dispatch.ErrNotFound) {
 		return nil, status.Error(codes.NotFound, err.Error())
@@ -136,7 +136,7 @@
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	s.mesh.learn(process{in.GetOwnerId(), in.GetOwnerIncarnation()})
+	s.mesh.recordProcess(process{in.GetOwnerId(), in.GetOwnerIncarnation()})
 	err = s.mesh.copies.Put(backup.Copy{
 		Owner:     backup.Owner{Daemon: in.GetOwnerId(), Incarnation: in.GetOwnerIncarnation(), Listed: in.GetOwnerListed()},
 		Spec:      spec,
--- a/internal/router/compaction.go
+++ b/internal/router/compaction.go
@@ -19,7 +19,7 @@
 func (r *Router) findHistoryGone() {
 	r.state.foundHistoryGone(time.Now())
 	r.relist()
-	r.node.Soon()
+	r.node.TriggerReport()
 }
 
 // followHistoryGone lists anew where a peer has found the history gone and this daemon's watches may
--- a/internal/router/consume.go
+++ b/internal/router/consume.go
@@ -94,7 +94,7 @@
 	s.restarted(ended)
 	s.router.useVersions(now)
 	s.router.logger.Info("servers listed", "servers", len(entries), "from", from, "revision_before", before, "revision", revision)
-	s.router.node.Soon()
+	s.router.node.TriggerReport()
 }
 
 // changes are what has come of the servers since the last time.
@@ -227,7 +227,7 @@
 	c.mu.Unlock()
 	if ahead {
 		// The daemons of the zone wait for it.
-		c.router.node.Soon()
+		c.router.node.TriggerReport()
 	}
 }
 
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -72,7 +72,7 @@
 
 // plan returns this daemon's part in the gossip.
 func (r *Router) plan(now time.Time) gossip.Plan {
-	return r.members.Plan(r.state.Condition(), now)
+	return r.members.Plan(r.state.LocalState(), now)
 }
 
 // watchRole keeps two roles. A daemon follows the store while it is the first
@@ -89,7 +89,7 @@
 			r.state.beginRole()
 			r.relist()
 			// The daemons of the zone learn whom they can rely on.
-			r.node.Soon()
+			r.node.TriggerReport()
 		}
 		first := following && r.isFirst(now)
 		if r.sentinel.Swap(first) != first {
@@ -123,7 +123,7 @@
 	}
 	plan := r.plan(now)
 	switch {
-	case plan.Follows:
+	case plan.FollowsStore:
 		r.unledAt = time.Time{}
 		return true
 	case r.led(plan, now):
@@ -137,8 +137,8 @@
 // or may be about to. Of two that follow, the later one in the order of names stops.
 func (r *Router) led(plan gossip.Plan, now time.Time) bool {
 	stays := r.following.Load() && !r.state.failing()
-	for _, peer := range r.members.HeardWithin(followerPatience(r.node.Round(now)), now) {
-		follows := peer.Zone == r.settings.VM.Zone && peer.Follows && !peer.StoreFailing
+	for _, peer := range r.members.HeardWithin(followerPatience(r.node.ReportInterval(now)), now) {
+		follows := peer.Zone == r.settings.VM.Zone && peer.FollowsStore && !peer.StoreFailing
 		if follows && (!stays || peer.VM < r.settings.VM.ID) {
 			return true
 		}
@@ -155,8 +155,8 @@
 	if r.unledAt.IsZero() {
 		r.unledAt = now
 	}
-	heard := slices.ContainsFunc(plan.ReportTo, func(relay gossip.Peer) bool { return relay.Heard(now) && relay.StoreFailing })
-	return now.Sub(r.unledAt) >= unledPatience(plan.ZonePlace, heard)
+	heard := slices.ContainsFunc(plan.ReportTo, func(relay gossip.Peer) bool { return relay.Reachable(now) && relay.StoreFailing })
+	return now.Sub(r.unledAt) >= unledPatience(plan.ZoneRank, heard)
 }
 
 const (
@@ -198,7 +198,7 @@
 	if r.state.failing() || r.draining.Load() {
 		return false
 	}
-	for _, peer := range r.members.Heard(now) {
+	for _, peer := range r.members.Reachable(now) {
 		if !peer.Draining && !peer.StoreFailing && peer.VM < r.settings.VM.ID {
 			return false
 		}
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -59,15 +59,15 @@
 			return
 		}
 		r := testRouter(t)
-		r.state.Own(1)
+		r.state.OwnCounts(1)
 		for range 2 {
-			r.state.Heard(&status, true)
-			r.state.Lacks(&status)
+			r.state.HandleReport(&status, true)
+			r.state.NeedsPull(&status)
 		}
 		now := time.Now()
-		reach, all := r.state.All(now)
-		answer := &gossippb.Status{Reach: reach, All: all, Own: r.state.Own(2)}
-		answer.ZoneReach, answer.ZoneSum = r.state.Zone(now)
+		reach, all := r.state.DeploymentTotals(now)
+		answer := &gossippb.Status{Reach: reach, All: all, Own: r.state.OwnCounts(2)}
+		answer.ZoneReach, answer.ZoneSum = r.state.ZoneTotals(now)
 		if _, err := proto.Marshal(answer); err != nil {
 			t.Fatal(err)
 		}
@@ -93,9 +93,9 @@
 			return
 		}
 		r := testRouter(t)
-		r.state.Pulled(&reply)
-		r.state.Pulled(&reply)
-		r.state.Pull(&gossippb.PullRequest{})
+		r.state.HandlePullReply(&reply)
+		r.state.HandlePullReply(&reply)
+		r.state.AnswerPull(&gossippb.PullRequest{})
 	})
 }
 
--- a/internal/router/heldexchange.go
+++ b/internal/router/heldexchange.go
@@ -35,7 +35,7 @@
 	for {
 		select {
 		case now := <-ticker.C:
-			if _, complete := r.state.reach(now); complete || !r.plan(now).Lead {
+			if _, complete := r.state.reach(now); complete || !r.plan(now).Leader {
 				continue
 			}
 			changes := r.state.quarantine.Changes()
--- a/internal/router/keptuses.go
+++ b/internal/router/keptuses.go
@@ -56,7 +56,7 @@
 			if r.state.ownFence() != 0 || (peersOf{r}).Holder() {
 				holderAt = now
 			}
-			if now.Sub(holderAt) >= keepUsesAfter && r.plan(now).Lead {
+			if now.Sub(holderAt) >= keepUsesAfter && r.plan(now).Leader {
 				r.writeUses(ctx, now)
 			}
 		case <-ctx.Done():
@@ -79,8 +79,8 @@
 }
 
 // latestUses returns the record of the lease with what leads have kept since, where it is old.
-func (r *Router) latestUses(ctx context.Context, memory lease.Memory) (lease.Memory, error) {
-	if memory.WrittenMs == 0 || r.state.started.Sub(time.UnixMilli(memory.WrittenMs)) < recordUsual {
+func (r *Router) latestUses(ctx context.Context, memory lease.Snapshot) (lease.Snapshot, error) {
+	if memory.WrittenAtMs == 0 || r.state.started.Sub(time.UnixMilli(memory.WrittenAtMs)) < recordUsual {
 		return memory, nil
 	}
 	page, err := r.objects.List(ctx, usesKind)
@@ -97,8 +97,8 @@
 		kept = append(kept, one)
 	}
 	latest := mergeUses(kept)
-	if latest.WrittenMs > memory.WrittenMs {
-		memory.Uses, memory.Asked, memory.Warmup, memory.WrittenMs = latest.Uses, latest.Asked, latest.Warmup, latest.WrittenMs
+	if latest.WrittenMs > memory.WrittenAtMs {
+		memory.RecentUses, memory.DemandRates, memory.Warmup, memory.WrittenAtMs = latest.Uses, latest.Asked, latest.Warmup, latest.WrittenMs
 	}
 	return memory, nil
 }
--- a/internal/router/leavingnotices.go
+++ b/internal/router/leavingnotices.go
@@ -14,7 +14,7 @@
 		s.router.logger.Info("server leaves by its own announcement", "server", e.ID, "service", e.Service, "zone", e.Zone, "from", status.GetVm())
 	}
 	if len(changed) > 0 {
-		s.router.node.Soon()
+		s.router.node.TriggerReport()
 	}
 }
 
--- a/internal/router/listing_test.go
+++ b/internal/router/listing_test.go
@@ -42,22 +42,22 @@
 	lead, member := testRouter(t).state, testRouter(t).state
 	now := time.Now()
 	lead.takeServers([]store.Object{listedServer(1, 1)}, 1, fromStore, now)
-	member.Pulled(lead.Pull(member.Request()))
+	member.HandlePullReply(lead.AnswerPull(member.PullRequest()))
 	var late *gossippb.PullReply
 	for i := 2; i < 40; i++ {
 		lead.changeServers(changes{put: []store.Object{listedServer(i, int64(i))}}, now)
 		lead.listing.revision = int64(i)
 		if late != nil {
-			c.Assert(member.Pulled(late), qt.IsFalse)
+			c.Assert(member.HandlePullReply(late), qt.IsFalse)
 			late = nil
 		}
 		status := &gossippb.Status{Vm: "lead", ServersRevision: int64(i), ServersDigest: lead.listing.digest}
 		c.Assert(member.lacksServers(status, now), qt.IsTrue)
-		c.Assert(member.Request().GetServersRevision(), qt.Equals, int64(i-1), qt.Commentf("the whole list is asked for"))
-		reply := lead.Pull(member.Request())
+		c.Assert(member.PullRequest().GetServersRevision(), qt.Equals, int64(i-1), qt.Commentf("the whole list is asked for"))
+		reply := lead.AnswerPull(member.PullRequest())
 		c.Assert(reply.GetPartial(), qt.IsTrue)
 		if i%2 == 0 {
-			c.Assert(member.Pulled(reply), qt.IsFalse)
+			c.Assert(member.HandlePullReply(reply), qt.IsFalse)
 		} else {
 			// Every other answer is late: there is something newer by then.
 			late = reply
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -12,17 +12,17 @@
 // remember returns what daemons that start after the death of all should know. The
 // holder of the lease writes it beside each renewal, at no further call.
 // What is not known yet by a holder that has just started stays as it stands.
-func (s *state) remember(standing lease.Memory) lease.Memory {
+func (s *state) remember(standing lease.Snapshot) lease.Snapshot {
 	now := time.Now()
 	reach, _ := s.reach(now)
-	memory := lease.Memory{
-		Daemons: reach.Known, WrittenMs: standing.WrittenMs, Uses: standing.Uses, Asked: standing.Asked, Warmup: standing.Warmup,
-		Paces: s.view.Paces(), Limits: s.limits.Usual(), Windows: s.ledger.All(windowsTold),
+	memory := lease.Snapshot{
+		Daemons: reach.Known, WrittenAtMs: standing.WrittenAtMs, RecentUses: standing.RecentUses, DemandRates: standing.DemandRates, Warmup: standing.Warmup,
+		Paces: s.view.Paces(), FirstTryLimits: s.limits.Usual(), RequestWindows: s.ledger.All(windowsTold),
 	}
 	if uses, known := s.limiter.uses(); known {
-		memory.WrittenMs, memory.Uses, memory.Asked, memory.Warmup = now.UnixMilli(), uses, s.limiter.asked(), s.limiter.warmup()
+		memory.WrittenAtMs, memory.RecentUses, memory.DemandRates, memory.Warmup = now.UnixMilli(), uses, s.limiter.asked(), s.limiter.warmup()
 	}
-	memory.Held, memory.HeldMs = s.quarantine.Remember(now), now.UnixMilli()
+	memory.Held, memory.HeldAtMs = s.quarantine.Remember(now), now.UnixMilli()
 	if s.router.board.Enabled() {
 		versions := s.router.board.Remember(now)
 		memory.RollOuts = &versions
@@ -32,15 +32,15 @@
 
 // recall applies what was known before this process started, and returns whether that tells what the
 // workspaces have used. listed is the number of daemons in the store's list, which may be short.
-func (s *state) recall(memory lease.Memory, listed int, now time.Time) bool {
+func (s *state) recall(memory lease.Snapshot, listed int, now time.Time) bool {
 	daemons := max(listed, memory.Daemons)
 	s.view.Learn(memory.Paces)
-	s.limits.Recall(memory.Limits)
+	s.limits.Recall(memory.FirstTryLimits)
 	// Counts only grow: where daemons that are still there know more, theirs stand.
-	s.ledger.HeardAll(memory.Windows)
+	s.ledger.HeardAll(memory.RequestWindows)
 	opened := s.openAllowances(memory)
 	if memory.RollOuts != nil {
-		s.router.board.Recall(*memory.RollOuts, max(0, s.started.Sub(time.UnixMilli(memory.WrittenMs))), now)
+		s.router.board.Recall(*memory.RollOuts, max(0, s.started.Sub(time.UnixMilli(memory.WrittenAtMs))), now)
 		s.router.useVersions(now)
 	}
 	s.mu.Lock()
@@ -48,15 +48,15 @@
 		s.told, s.toldAt = daemons, now
 	}
 	s.mu.Unlock()
-	s.router.logger.Info("known before the start", "daemons", daemons, "listed", listed, "workspaces", len(memory.Uses), "services", len(memory.Paces))
+	s.router.logger.Info("known before the start", "daemons", daemons, "listed", listed, "workspaces", len(memory.RecentUses), "services", len(memory.Paces))
 	return opened
 }
 
 // openAllowances applies what the workspaces have used: what the record tells, or nothing at the first
 // start of all daemons. It returns false if neither is the case.
-func (s *state) openAllowances(memory lease.Memory) bool {
-	opening := allowance.Opening{Uses: memory.Uses, Asked: memory.Asked, Warmup: memory.Warmup, Age: max(0, s.started.Sub(time.UnixMilli(memory.WrittenMs)))}
-	if memory.WrittenMs == 0 {
+func (s *state) openAllowances(memory lease.Snapshot) bool {
+	opening := allowance.Opening{Uses: memory.RecentUses, Asked: memory.DemandRates, Warmup: memory.Warmup, Age: max(0, s.started.Sub(time.UnixMilli(memory.WrittenAtMs)))}
+	if memory.WrittenAtMs == 0 {
 		if !s.router.settings.Peers.Bootstrap {
 			return false
 		}
--- a/internal/router/memory_test.go
+++ b/internal/router/memory_test.go
@@ -57,10 +57,10 @@
 func TestHolderThatKnowsNoUsesKeepsThoseRemembered(t *testing.T) {
 	c := qt.New(t)
 	s := testRouter(t).state
-	standing := lease.Memory{WrittenMs: 7, Uses: map[string]allowance.Use{"w": {1, 2, 3, 4}}}
+	standing := lease.Snapshot{WrittenAtMs: 7, RecentUses: map[string]allowance.Use{"w": {1, 2, 3, 4}}}
 	next := s.remember(standing)
-	c.Check(next.Uses, qt.DeepEquals, standing.Uses)
-	c.Check(next.WrittenMs, qt.Equals, int64(7))
+	c.Check(next.RecentUses, qt.DeepEquals, standing.RecentUses)
+	c.Check(next.WrittenAtMs, qt.Equals, int64(7))
 }
 
 // TestStarterKnowsWhatTheLastHolderKnew: a daemon that starts after the death of all has
@@ -75,11 +75,11 @@
 	}
 	before.view.SetTraits(map[string]backend.Traits{"s": {CacheTokens: 1000}})
 	before.view.Learn(map[string]pace.EngineFigures{"s": {First: pace.Figures{Coefficients: []float64{0.5}, Seen: 100}}})
-	raw, err := json.Marshal(lease.Record{Memory: before.remember(lease.Memory{})})
+	raw, err := json.Marshal(lease.Record{Snapshot: before.remember(lease.Snapshot{})})
 	c.Assert(err, qt.IsNil)
 	var record lease.Record
 	c.Assert(json.Unmarshal(raw, &record), qt.IsNil)
-	after.recall(record.Memory, 1, now)
+	after.recall(record.Snapshot, 1, now)
 	c.Check(after.ledger.Sum(window), qt.DeepEquals, usage.Counts{"w": 3})
 	after.view.SetTraits(map[string]backend.Traits{"s": {CacheTokens: 1000}})
 	after.view.Put(backend.Entry{ID: "a", Service: "s", Slots: 1}, now)
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -74,7 +74,7 @@
 	gauge(heldBack, float64(b.state.quarantine.Count(now)))
 	plan := b.plan(now)
 	gauge(roles, flag(plan.Relay), "relay")
-	gauge(roles, flag(plan.Lead), "lead")
+	gauge(roles, flag(plan.Leader), "lead")
 	gauge(roles, flag(b.following.Load()), "follows_store")
 	gauge(roles, flag(b.sentinel.Load()), "sentinel")
 	b.collectRollOuts(gauge, now)
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -67,7 +67,7 @@
 		r.logger.Warn("store is out of reach", "error", err, "waited_ms", probes.patience().Milliseconds())
 		r.state.outOfReach()
 		r.relist()
-		r.node.Soon()
+		r.node.TriggerReport()
 	}
 }
 
--- a/internal/router/pull.go
+++ b/internal/router/pull.go
@@ -22,8 +22,8 @@
 	storeBackFor = 5 * time.Second
 )
 
-// Lacks implements gossip.Sink.
-func (s *state) Lacks(status *gossippb.Status) bool {
+// NeedsPull implements gossip.Sink.
+func (s *state) NeedsPull(status *gossippb.Status) bool {
 	version := int64(0)
 	if c := s.Catalog(); c != nil {
 		version = c.Version
@@ -65,8 +65,8 @@
 	return !following || s.unreached()
 }
 
-// Request implements gossip.Source.
-func (s *state) Request() *gossippb.PullRequest {
+// PullRequest implements gossip.Source.
+func (s *state) PullRequest() *gossippb.PullRequest {
 	request := &gossippb.PullRequest{}
 	if c := s.Catalog(); c != nil {
 		request.ConfigVersion = c.Version
@@ -79,8 +79,8 @@
 	return request
 }
 
-// Pull implements gossip.Source.
-func (s *state) Pull(request *gossippb.PullRequest) *gossippb.PullReply {
+// AnswerPull implements gossip.Source.
+func (s *state) AnswerPull(request *gossippb.PullRequest) *gossippb.PullReply {
 	reply := &gossippb.PullReply{Vm: s.router.settings.VM.ID}
 	if c := s.Catalog(); c != nil && c.Version > request.GetConfigVersion() {
 		reply.ConfigVersion, reply.Config = c.Version, s.packedConfig(c)
@@ -224,8 +224,8 @@
 	return io.ReadAll(io.LimitReader(r, mostUnpacked))
 }
 
-// Pulled implements gossip.Sink.
-func (s *state) Pulled(reply *gossippb.PullReply) (again bool) {
+// HandlePullReply implements gossip.Sink.
+func (s *state) HandlePullReply(reply *gossippb.PullReply) (again bool) {
 	if len(reply.GetConfig()) > 0 {
 		s.takePackedConfig(reply.GetConfig())
 	}
--- a/internal/router/pull_test.go
+++ b/internal/router/pull_test.go
@@ -24,9 +24,9 @@
 	raw := `{"version":3,"routes":[` + strings.Join(routes, ",") + `]}`
 	from, to := testRouter(t), testRouter(t)
 	from.state.takeConfig([]byte(raw), "test")
-	reply := from.state.Pull(&gossippb.PullRequest{})
+	reply := from.state.AnswerPull(&gossippb.PullRequest{})
 	c.Check(len(reply.GetConfig()) < len(raw)/5, qt.IsTrue, qt.Commentf("%d of %d bytes", len(reply.GetConfig()), len(raw)))
-	to.state.Pulled(reply)
+	to.state.HandlePullReply(reply)
 	c.Assert(to.state.Catalog(), qt.IsNotNil)
 	c.Check(to.state.Catalog().Routes, qt.HasLen, 1900)
 	c.Check(string(to.state.Catalog().Raw), qt.Equals, raw)
@@ -46,12 +46,12 @@
 	}
 	from, to := testRouter(t), testRouter(t)
 	from.state.takeServers(objects, 9000, fromStore, time.Now())
-	reply := from.state.Pull(&gossippb.PullRequest{})
+	reply := from.state.AnswerPull(&gossippb.PullRequest{})
 	size := proto.Size(reply)
 	t.Logf("%d bytes, %d packed", plain, size)
 	const link, daemons, relays = 20e6 / 8, 60, 2
 	c.Check(float64(daemons/relays*size)/link < 1, qt.IsTrue, qt.Commentf("%d bytes", size))
-	to.state.Pulled(reply)
+	to.state.HandlePullReply(reply)
 	c.Check(to.state.listing.digest, qt.Equals, from.state.listing.digest)
 	c.Check(to.state.listing.entries, qt.HasLen, 3000)
 }
@@ -72,7 +72,7 @@
 	from, to := testRouter(t).state, testRouter(t).state
 	now := time.Now()
 	from.takeServers(objects, 2000, fromStore, now)
-	to.Pulled(from.Pull(&gossippb.PullRequest{}))
+	to.HandlePullReply(from.AnswerPull(&gossippb.PullRequest{}))
 	plain := 0
 	for i := range 900 {
 		leaving := object(i, "draining", int64(3000+i))
@@ -80,14 +80,14 @@
 		from.changeServers(changes{put: []store.Object{leaving}}, now)
 	}
 	from.listing.revision = 4000
-	reply := from.Pull(to.Request())
+	reply := from.AnswerPull(to.PullRequest())
 	c.Assert(reply.GetPartial(), qt.IsTrue)
 	size := proto.Size(reply)
 	t.Logf("%d bytes, %d packed", plain, size)
 	const link, daemons, relays = 10e6 / 8, 33, 2
 	c.Check(float64(daemons*size)/relays/link < 0.5, qt.IsTrue, qt.Commentf("%d bytes", size))
-	c.Check(&from.Pull(to.Request()).GetPackedServers()[0], qt.Equals, &reply.GetPackedServers()[0], qt.Commentf("packed once for all that ask"))
-	to.Pulled(reply)
+	c.Check(&from.AnswerPull(to.PullRequest()).GetPackedServers()[0], qt.Equals, &reply.GetPackedServers()[0], qt.Commentf("packed once for all that ask"))
+	to.HandlePullReply(reply)
 	c.Check(to.listing.digest, qt.Equals, from.listing.digest)
 	ready := 0
 	for _, s := range to.view.Servers(now) {
@@ -101,13 +101,13 @@
 func TestBrokenListOfAPeerIsLeftAlone(t *testing.T) {
 	c := qt.New(t)
 	r := testRouter(t)
-	r.state.Pulled(&gossippb.PullReply{ServersRevision: 9, PackedServers: []byte("not packed")})
+	r.state.HandlePullReply(&gossippb.PullReply{ServersRevision: 9, PackedServers: []byte("not packed")})
 	c.Check(r.state.view.Listed(), qt.IsFalse)
 }
 
 func TestBrokenConfigurationOfAPeerIsLeftAlone(t *testing.T) {
 	c := qt.New(t)
 	r := testRouter(t)
-	r.state.Pulled(&gossippb.PullReply{ConfigVersion: 9, Config: []byte("not packed")})
+	r.state.HandlePullReply(&gossippb.PullReply{ConfigVersion: 9, Config: []byte("not packed")})
 	c.Check(r.state.Catalog(), qt.IsNil)
 }
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -10,7 +10,7 @@
 // newQuarantine returns what holds back requests that end servers.
 func (r *Router) newQuarantine() *watch.Watch {
 	return watch.New(watch.Options{
-		Round:  func(now time.Time) time.Duration { return r.node.Round(now) },
+		Round:  func(now time.Time) time.Duration { return r.node.ReportInterval(now) },
 		Soon:   r.soon,
 		Logger: r.logger,
 	})
@@ -18,7 +18,7 @@
 
 // learnHeld takes over what the record of the lease says of requests that end servers. A
 // daemon that is cut off from the holder reads the record in its turn.
-func (s *state) learnHeld(memory lease.Memory) {
+func (s *state) learnHeld(memory lease.Snapshot) {
 	now := time.Now()
-	s.quarantine.Hear(memory.Held, max(0, now.Sub(time.UnixMilli(memory.HeldMs))), now)
+	s.quarantine.Hear(memory.Held, max(0, now.Sub(time.UnixMilli(memory.HeldAtMs))), now)
 }
--- a/internal/router/reach.go
+++ b/internal/router/reach.go
@@ -15,7 +15,7 @@
 			reach.Known++
 		}
 	}
-	for _, p := range s.router.members.Heard(now) {
+	for _, p := range s.router.members.Reachable(now) {
 		if p.Zone == zone {
 			reach.Heard++
 			reach.Fence = max(reach.Fence, p.Fence)
--- a/internal/router/register.go
+++ b/internal/router/register.go
@@ -130,7 +130,7 @@
 		default:
 		}
 		r.state.useReach(time.Now())
-		r.node.Soon()
+		r.node.TriggerReport()
 	}()
 	if standing == own {
 		return nil
--- a/internal/router/removal_test.go
+++ b/internal/router/removal_test.go
@@ -36,11 +36,11 @@
 	}
 	// The other relay hears of a new server at 15, before the removal at 18.
 	apply(otherRelay, 15, store.Event{Object: listedServer(3, 15)})
-	member.Pulled(otherRelay.Pull(member.Request()))
+	member.HandlePullReply(otherRelay.AnswerPull(member.PullRequest()))
 	c.Assert(member.listing.revision, qt.Equals, int64(15))
 	// The relay hears of both at once.
 	apply(relay, 20, store.Event{Object: listedServer(3, 15)}, removed(1, 1))
-	member.Pulled(relay.Pull(member.Request()))
+	member.HandlePullReply(relay.AnswerPull(member.PullRequest()))
 	c.Check(member.listing.revision, qt.Equals, int64(20))
 	c.Check(readyServers(member, now), qt.DeepEquals, []string{"i-2", "i-3"})
 	c.Check(member.listing.digest, qt.Equals, relay.listing.digest)
@@ -112,15 +112,15 @@
 	c := qt.New(t)
 	lead, member, now := testRouter(t).state, testRouter(t).state, time.Now()
 	serverConsumer{lead}.Replace(store.Page{Objects: []store.Object{listedServer(1, 1), listedServer(2, 2)}, Revision: 10}, false)
-	c.Assert(member.Pulled(lead.Pull(member.Request())), qt.IsFalse)
+	c.Assert(member.HandlePullReply(lead.AnswerPull(member.PullRequest())), qt.IsFalse)
 	// A change is lost on the way to the member, whose revision says that it has it.
 	apply(lead, 15, store.Event{Object: listedServer(3, 12)})
 	member.listing.revision = 15
 	apply(lead, 20, store.Event{Object: listedServer(4, 18)})
-	c.Assert(member.Pulled(lead.Pull(member.Request())), qt.IsTrue)
-	c.Check(member.Request().GetServersRevision(), qt.Equals, int64(0))
-	c.Check(member.Pulled(lead.Pull(member.Request())), qt.IsFalse)
+	c.Assert(member.HandlePullReply(lead.AnswerPull(member.PullRequest())), qt.IsTrue)
+	c.Check(member.PullRequest().GetServersRevision(), qt.Equals, int64(0))
+	c.Check(member.HandlePullReply(lead.AnswerPull(member.PullRequest())), qt.IsFalse)
 	c.Check(member.listing.digest, qt.Equals, lead.listing.digest)
 	c.Check(readyServers(member, now), qt.HasLen, 4)
-	c.Check(member.Request().GetServersRevision(), qt.Equals, int64(20))
+	c.Check(member.PullRequest().GetServersRevision(), qt.Equals, int64(20))
 }
--- a/internal/router/rollouts.go
+++ b/internal/router/rollouts.go
@@ -60,7 +60,7 @@
 		c.takeOrder(order, "store", now)
 	}
 	c.useVersions(now)
-	c.node.Soon()
+	c.node.TriggerReport()
 }
 
 // Advance implements store.Consumer.
@@ -97,7 +97,7 @@
 			"answers", halt.Answers, "revision", halt.Order.Revision)
 	}
 	if len(halts) > 0 {
-		r.node.Soon()
+		r.node.TriggerReport()
 	}
 }
 
@@ -255,6 +255,6 @@
 	r.logger.Info("state of a roll-out written", "service", order.Service, "version", order.Version, "state", outcome.State.String(), "why", outcome.Why, "revision", object.Revision)
 	r.takeOrder(standing, "own write", now)
 	r.useVersions(now)
-	r.node.Soon()
+	r.node.TriggerReport()
 	return true
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -122,7 +122,7 @@
 		metrics:     prometheus.NewRegistry(),
 		found:       make(chan struct{}, 1),
 		pool:        upstream.NewPool(options.Network, dialTimeout),
-		members:     gossip.NewMembers(gossip.Self{VM: s.VM.ID, Zone: s.VM.Zone, Address: s.Listen.Peers}, s.Peers.Seeds),
+		members:     gossip.NewMembers(gossip.Identity{VM: s.VM.ID, Zone: s.VM.Zone, Address: s.Listen.Peers}, s.Peers.Seeds),
 		budget: retrybudget.New(retrybudget.Bounds{
 			Ratio: s.Bounds.RetryRatio, Extra: s.Bounds.RetryExtra, Window: s.Bounds.RetryWindow.Std(),
 		}),
@@ -216,7 +216,7 @@
 	}
 	r.holder = duty.NewHolder(duty.Options{
 		Self: r.settings.VM.ID, Address: r.settings.Listen.Peers, Incarnation: r.incarnation, Duration: r.settings.Bounds.Lease.Std(),
-		Store: r.objects, Peers: peersOf{r}, Logger: r.logger, Soon: r.node.Soon, Remember: r.state.remember, Learn: r.state.learnHeld,
+		Store: r.objects, Peers: peersOf{r}, Logger: r.logger, Soon: r.node.TriggerReport, Remember: r.state.remember, Learn: r.state.learnHeld,
 	})
 }
 
@@ -329,7 +329,7 @@
 	ctx, cancel := context.WithDeadline(kill, end)
 	defer cancel()
 	r.holder.Release(ctx)
-	r.node.Soon()
+	r.node.TriggerReport()
 	select {
 	case <-time.After(notice):
 	case <-ctx.Done():
@@ -340,7 +340,7 @@
 }
 
 // soon lets the next report go out at once.
-func (r *Router) soon() { r.node.Soon() }
+func (r *Router) soon() { r.node.TriggerReport() }
 
 // housekeep keeps the shares of shared limits and the idle connections.
 func (r *Router) housekeep(ctx context.Context) {
@@ -383,7 +383,7 @@
 // Holder implements duty.Peers.
 func (p peersOf) Holder() bool {
 	now := time.Now()
-	for _, peer := range p.members.Heard(now) {
+	for _, peer := range p.members.Reachable(now) {
 		if peer.Fence != 0 {
 			return true
 		}
@@ -393,7 +393,7 @@
 }
 
 // Rank implements duty.Peers.
-func (p peersOf) Rank() int { return p.plan(time.Now()).Place }
+func (p peersOf) Rank() int { return p.plan(time.Now()).DutyRank }
 
 // AllHeard implements duty.Peers.
 func (p peersOf) AllHeard() bool {
@@ -410,7 +410,7 @@
 	}
 	plan := p.plan(now)
 	_, complete := p.state.sums.Reach(now)
-	return name, plan.Lead, !plan.Lead || !complete
+	return name, plan.Leader, !plan.Leader || !complete
 }
 
 // newLedger returns the ledger for the windows of the settings.
--- a/internal/router/serverlimits.go
+++ b/internal/router/serverlimits.go
@@ -70,7 +70,7 @@
 			"limited", c.Limit.Named, "requests_per_second", c.Limit.Rate, "limited_before", c.Before.Named, "requests_per_second_before", c.Before.Rate, "from", status.GetVm())
 	}
 	if len(changed) > 0 {
-		s.router.node.Soon()
+		s.router.node.TriggerReport()
 	}
 }
 
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -172,7 +172,7 @@
 	}
 	s.router.logger.Info("configuration in force", "config_version", c.Version, "source", source, "routes", len(c.Routes), "workspaces", len(c.Workspaces))
 	s.router.useVersions(time.Now())
-	s.router.node.Soon()
+	s.router.node.TriggerReport()
 }
 
 // traitsOf returns what the configuration says of a service's engines.
--- a/internal/router/talk.go
+++ b/internal/router/talk.go
@@ -26,8 +26,8 @@
 	sumEvery = 100 * time.Millisecond
 )
 
-// Report implements gossip.Source.
-func (s *state) Report(status *gossippb.Status) {
+// FillStatus implements gossip.Source.
+func (s *state) FillStatus(status *gossippb.Status) {
 	if c := s.Catalog(); c != nil {
 		status.ConfigVersion = c.Version
 	}
@@ -65,13 +65,13 @@
 	return s.router.following.Load() && s.answered && !s.unreached()
 }
 
-// Condition implements gossip.Source.
-func (s *state) Condition() gossip.Condition {
-	return gossip.Condition{StoreFailing: s.failing(), Draining: s.router.draining.Load(), Follows: s.followsStore()}
+// LocalState implements gossip.Source.
+func (s *state) LocalState() gossip.LocalState {
+	return gossip.LocalState{StoreFailing: s.failing(), Draining: s.router.draining.Load(), FollowsStore: s.followsStore()}
 }
 
-// Own implements gossip.Source.
-func (s *state) Own(sequence uint64) *gossippb.Counts {
+// OwnCounts implements gossip.Source.
+func (s *state) OwnCounts(sequence uint64) *gossippb.Counts {
 	now := time.Now()
 	used := s.limiter.own()
 	own := rollup.Counts{Spent: used.Spent, Refused: used.Refused, Loads: s.view.OwnLoads(), Demand: s.demand.Rates(now), Paces: s.view.Paces(), Versions: s.router.board.Own()}
@@ -85,8 +85,8 @@
 	return counts
 }
 
-// All implements gossip.Source.
-func (s *state) All(now time.Time) (*gossippb.Reach, *gossippb.Counts) {
+// DeploymentTotals implements gossip.Source.
+func (s *state) DeploymentTotals(now time.Time) (*gossippb.Reach, *gossippb.Counts) {
 	reach, _ := s.reach(now)
 	return encodeReach(reach), s.encodeSums(s.sums.All(now))
 }
@@ -119,8 +119,8 @@
 	return sums
 }
 
-// Uses implements gossip.Source.
-func (s *state) Uses() *gossippb.Uses {
+// RecentUses implements gossip.Source.
+func (s *state) RecentUses() *gossippb.Uses {
 	uses, known := s.limiter.uses()
 	if !known {
 		return nil
@@ -133,18 +133,18 @@
 // Windows implements gossip.Source.
 func (s *state) Windows() []*gossippb.Window { return encodeWindows(s.ledger.All(windowsTold)) }
 
-// Taken implements gossip.Source.
-func (s *state) Taken(vm string) uint64 { return s.sums.Taken(vm) }
+// IncludedSequence implements gossip.Source.
+func (s *state) IncludedSequence(vm string) uint64 { return s.sums.Taken(vm) }
 
-// Zone implements gossip.Source.
-func (s *state) Zone(now time.Time) (*gossippb.Reach, *gossippb.Counts) {
+// ZoneTotals implements gossip.Source.
+func (s *state) ZoneTotals(now time.Time) (*gossippb.Reach, *gossippb.Counts) {
 	counts := s.encodeSums(s.sums.Zone(now))
 	counts.Windows = encodeWindows(s.ledger.Zone(windowsTold))
 	return encodeReach(s.zoneReach(now)), counts
 }
 
-// Heard implements gossip.Sink.
-func (s *state) Heard(status *gossippb.Status, _ bool) {
+// HandleReport implements gossip.Sink.
+func (s *state) HandleReport(status *gossippb.Status, _ bool) {
 	now := time.Now()
 	s.mu.Lock()
 	s.agree(status.GetServersDigest(), status.GetServersAgeMs(), now)
@@ -170,14 +170,14 @@
 	}
 }
 
-// Noticed implements gossip.Sink.
-func (s *state) Noticed(load *gossippb.Load) {
+// HandleNotice implements gossip.Sink.
+func (s *state) HandleNotice(load *gossippb.Load) {
 	s.view.Noticed(load.GetKey(), int(load.GetPendingTokens()), time.Now())
 }
 
 // notice tells others of a large prompt that this daemon sends.
 func (s *state) notice(server backend.Entry, tokens int) {
-	s.router.node.Notice(&gossippb.Load{Key: backend.KeyOf(server), PendingTokens: int32(tokens)})
+	s.router.node.SendNotice(&gossippb.Load{Key: backend.KeyOf(server), PendingTokens: int32(tokens)})
 }
 
 // heardMember takes over the report of a daemon of the zone.
@@ -207,7 +207,7 @@
 		s.ledger.HeardAll(decodeWindows(all.GetWindows()))
 	}
 	plan := s.router.plan(now)
-	if plan.Lead || (status.GetVm() != plan.LeadVM && !s.mayListen(status.GetVm(), now)) {
+	if plan.Leader || (status.GetVm() != plan.LeaderVM && !s.mayListen(status.GetVm(), now)) {
 		return
 	}
 	warmup := s.leadWarmsUp(status)
@@ -287,10 +287,10 @@
 
 // hearUsed tells the limiter what others have used.
 func (s *state) hearUsed(vm string, incarnation uint64, used allowance.Counters, first bool, now time.Time) {
-	round := s.router.node.Round(now)
+	round := s.router.node.ReportInterval(now)
 	reach, _ := s.reach(now)
 	s.limiter.hear(allowance.Report{
-		VM: vm, Incarnation: incarnation, Counters: used, First: first, Behind: max(round, reach.Behind) + gossip.Ahead, Round: round,
+		VM: vm, Incarnation: incarnation, Counters: used, First: first, Behind: max(round, reach.Behind) + gossip.ReportLeadTime, Round: round,
 	})
 }
 
--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -10,15 +10,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// least is the shortest suspension that counts: below, it is the time between two readings of
+// minSuspension is the shortest suspension that counts: below, it is the time between two readings of
 // the clocks.
-const least = 10 * time.Millisecond
+const minSuspension = 10 * time.Millisecond
 
 var (
-	// begun is how far the clocks were apart when the process started.
-	begun = apart()
-	// suspended is the longest that they have been seen apart since, in nanoseconds.
-	suspended atomic.Int64
+	// initialOffset is how far the clocks were apart when the process started.
+	initialOffset = clockOffset()
+	// maxOffset is the longest that they have been seen apart since, in nanoseconds.
+	maxOffset atomic.Int64
 )
 
 // Now returns the time by this clock. It compares with times of this clock alone.
@@ -26,15 +26,15 @@
 
 // Suspended returns how long the VM has been suspended since the process started.
 func Suspended() time.Duration {
-	return grow(&suspended, apart()-begun)
+	return raiseTo(&maxOffset, clockOffset()-initialOffset)
 }
 
-// grow takes over a reading and returns the longest one. The clock that stands still is read
+// raiseTo takes over a reading and returns the longest one. The clock that stands still is read
 // last, so that a pause between the readings never looks like a suspension.
-func grow(longest *atomic.Int64, reading time.Duration) time.Duration {
+func raiseTo(longest *atomic.Int64, reading time.Duration) time.Duration {
 	for {
 		known := longest.Load()
-		if reading-time.Duration(known) < least {
+		if reading-time.Duration(known) < minSuspension {
 			return time.Duration(known)
 		}
 		if longest.CompareAndSwap(known, int64(reading)) {
@@ -43,8 +43,8 @@
 	}
 }
 
-// apart returns how far the clock that counts suspensions is ahead of the one that does not.
-func apart() time.Duration {
+// clockOffset returns how far the clock that counts suspensions is ahead of the one that does not.
+func clockOffset() time.Duration {
 	counts := read(unix.CLOCK_BOOTTIME)
 	return counts - monotonic()
 }
--- a/internal/steady/steady_test.go
+++ b/internal/steady/steady_test.go
@@ -17,11 +17,11 @@
 		{0, 0}, {300, 0}, {-40 * time.Millisecond, 0}, {5 * time.Second, 5 * time.Second},
 		{5*time.Second + 800, 5 * time.Second}, {4 * time.Second, 5 * time.Second}, {9 * time.Second, 9 * time.Second},
 	} {
-		c.Check(grow(&longest, step.reading), qt.Equals, step.want)
+		c.Check(raiseTo(&longest, step.reading), qt.Equals, step.want)
 	}
 }
 
-// TestNothingIsSuspendedHere: the machine of the test runs.
-func TestNothingIsSuspendedHere(t *testing.T) {
+// TestRunningMachineIsNotSuspended: the machine of the test runs.
+func TestRunningMachineIsNotSuspended(t *testing.T) {
 	qt.New(t).Check(Suspended(), qt.Equals, time.Duration(0))
 }
--- a/internal/vmlist/vmlist.go
+++ b/internal/vmlist/vmlist.go
@@ -62,9 +62,9 @@
 	ListVMs(ctx context.Context, after int64, wait time.Duration) (VMChanges, error)
 }
 
-// Ranked orders VMs by the hash of a key with each: rendezvous hashing, by which all that know the
+// RendezvousOrder orders VMs by the hash of a key with each: rendezvous hashing, by which all that know the
 // same VMs choose the same ones for a key.
-func Ranked(key string, vms []VM) []VM {
+func RendezvousOrder(key string, vms []VM) []VM {
 	weights := make(map[string]uint64, len(vms))
 	for _, vm := range vms {
 		weights[vm.ID] = xxhash.Sum64String(key + "/" + vm.ID)
