--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,10 +1,10 @@
-// Package gossip lets the daemons of one deployment tell each other what they
-// believe and have used. In each availability zone the first daemons are relays:
-// all others of the zone report to them, and the lead among them tells the sums
-// to its zone and to the leads of other zones. What a daemon sends and gets so
-// does not grow with the deployment, but for what is listed by backend server.
-// What is too large for a datagram is fetched by a call. The loss of a datagram
-// is mended by the next one.
+// Package gossip exchanges state and usage counters between the daemons of one
+// deployment. In each availability zone the first few daemons are relays. All other
+// daemons of the zone report to the relays, and the leader among the relays sends the
+// totals to its zone and to the relays of other zones. The traffic per daemon therefore
+// does not grow with the deployment, except for entries that are listed per backend
+// server. Data too large for a datagram is fetched with an RPC. A lost datagram is made
+// up for by the next one.
 package gossip
 
 import (
@@ -24,78 +24,86 @@
 )
 
 const (
-	// minReportInterval and longest bound the time between two reports, and reportIntervalPerDaemon adds
-	// to it for every daemon of the deployment. What a daemon knows of its zone is
-	// behind by that time and of other zones by twice that, at most. A few daemons
-	// spend allowances in large steps and have to hear of each other sooner; many
-	// would spend too much on it.
+	// minReportInterval and maxReportInterval bound the time between two reports, and
+	// reportIntervalPerDaemon is added for every daemon of the deployment. A daemon's
+	// view of its own zone is at most one interval old, and its view of other zones at
+	// most two. In a small deployment each daemon spends allowances in large steps, so
+	// reports must be frequent; in a large one frequent reports would cost too much.
 	minReportInterval       = 150 * time.Millisecond
 	maxReportInterval       = 400 * time.Millisecond
 	reportIntervalPerDaemon = 5 * time.Millisecond
-	// ReportLeadTime is how much earlier than the lead's next digest a daemon reports, so
-	// that the digest holds what is new: links within a zone take some ms, and a
-	// daemon's timer may fire late.
+	// ReportLeadTime is how long before the leader's next digest a daemon sends its
+	// report, so that the digest includes it. It covers the few milliseconds of latency
+	// within a zone and timers that fire late.
 	ReportLeadTime = 40 * time.Millisecond
-	// minSendInterval is the least time between two sends.
+	// minSendInterval is the minimum time between two sends.
 	minSendInterval = 50 * time.Millisecond
-	// reportsPerMemberList is how often, in reports, the known daemons are named.
+	// reportsPerMemberList is the number of reports per report that lists the known
+	// daemons.
 	reportsPerMemberList = 8
-	// maxListedPerRemoteZone is the number of daemons of a zone that a lead names to other zones.
+	// maxListedPerRemoteZone is the number of daemons per zone that a leader lists in its
+	// reports to other zones.
 	maxListedPerRemoteZone = 4
-	// maxDatagramBytes bounds a report, in bytes.
+	// maxDatagramBytes is the maximum size of a report.
 	maxDatagramBytes = 60 << 10
-	// pullTimeout bounds a call to a peer: a configuration of 1,900 routes takes
-	// some 100 ms on a link of 10 Mbit/s that carries other answers too.
+	// pullTimeout bounds a Pull call to a peer. A configuration of 1,900 routes takes
+	// about 100 ms on a 10 Mbit/s link that also carries other responses.
 	pullTimeout = 2 * time.Second
-	// maxConcurrentPulls bounds the calls at once. A relay hears from all daemons of its zone
-	// that they have something newer; were it to ask all, their answers would choke
-	// its link. A second call goes on when the first peer does not answer.
+	// maxConcurrentPulls bounds the number of concurrent Pull calls. All daemons of a
+	// zone may report newer data to a relay at once, and the replies to a call to each of
+	// them would saturate its link. A second call makes progress while the first peer
+	// does not answer.
 	maxConcurrentPulls = 2
-	// slowPullAfter is how long a call counts among those. Peers that have lost power answer nothing
-	// until pullTimeout, and others may tell what they would have.
+	// slowPullAfter is how long a call counts toward maxConcurrentPulls. A peer that has
+	// lost power does not answer before pullTimeout, and other peers may have the same
+	// data.
 	slowPullAfter = 300 * time.Millisecond
 )
 
-// Source fills in what the daemon tells.
+// Source provides the data that the daemon sends.
 type Source interface {
-	// FillStatus fills in what the daemon believes.
+	// FillStatus sets the fields that describe the daemon's current state.
 	FillStatus(status *gossippb.Status)
-	// OwnCounts returns what the daemon itself has used, as of a sequence.
+	// OwnCounts returns the daemon's own usage as of a sequence number.
 	OwnCounts(sequence uint64) *gossippb.Counts
-	// DeploymentTotals returns what a lead tells the daemons of its zone.
+	// DeploymentTotals returns the totals that a leader sends to the daemons of its zone.
 	DeploymentTotals(now time.Time) (*gossippb.Reach, *gossippb.Counts)
-	// RecentUses returns what the workspaces have used lately, for daemons that start.
+	// RecentUses returns the recent usage of the workspaces, for daemons that have just
+	// started.
 	RecentUses() *gossippb.Uses
-	// Windows returns the counts by window over everything, for the holder of the
-	// lease.
+	// Windows returns the request counts per window over all daemons, for the lease
+	// holder.
 	Windows() []*gossippb.Window
-	// IncludedSequence returns the highest sequence of a peer that All includes.
+	// IncludedSequence returns the highest sequence number of a peer's reports that
+	// DeploymentTotals includes.
 	IncludedSequence(vm string) uint64
-	// ZoneTotals returns what a lead tells the relays of other zones.
+	// ZoneTotals returns the totals of this zone that a leader sends to the relays of
+	// other zones.
 	ZoneTotals(now time.Time) (*gossippb.Reach, *gossippb.Counts)
-	// LocalState returns what the daemon knows of itself.
+	// LocalState returns the daemon's own state.
 	LocalState() LocalState
-	// PullRequest returns what this daemon has, to ask a peer for what is newer.
+	// PullRequest returns the versions that this daemon has, for a Pull call to a peer.
 	PullRequest() *gossippb.PullRequest
-	// AnswerPull returns what is newer than a peer's versions.
+	// AnswerPull returns everything that is newer than the versions in a peer's request.
 	AnswerPull(request *gossippb.PullRequest) *gossippb.PullReply
 }
 
-// Sink takes over what peers tell.
+// Sink processes the data received from peers.
 type Sink interface {
-	// HandleReport takes over a peer's report. unknown is set for the first report of a
+	// HandleReport merges a peer's report. unknown is set for the first report of a
 	// process.
 	HandleReport(status *gossippb.Status, unknown bool)
-	// NeedsPull reports whether a pull from the peer would bring something newer.
+	// NeedsPull reports whether a Pull call to the peer would return newer data.
 	NeedsPull(status *gossippb.Status) bool
-	// HandlePullReply takes over what a pull has brought. It reports whether the peer has to be asked
-	// again at once, for all that it has.
+	// HandlePullReply merges the reply to a Pull call. It reports whether the peer must
+	// be asked again at once, for its complete data.
 	HandlePullReply(reply *gossippb.PullReply) (again bool)
-	// HandleNotice takes over what a peer has just sent to a server.
+	// HandleNotice processes a peer's notice of what it has just sent to a backend
+	// server.
 	HandleNotice(load *gossippb.Load)
 }
 
-// Options are what a Node works with.
+// Options configures a Node.
 type Options struct {
 	VM, Zone string
 	// Address is the IP:port of the peer listener.
@@ -108,22 +116,23 @@
 	Logger      *slog.Logger
 }
 
-// Node takes part in the gossip.
+// Node sends and receives gossip for one daemon.
 type Node struct {
 	gossippb.UnimplementedPeersServer
 	options Options
 	packets net.PacketConn
 	server  *grpc.Server
-	// trigger asks for the next report at once, align for one ahead of the lead's.
+	// trigger requests a report at once. alignToLeader reschedules the next report to
+	// ReportLeadTime before the leader's next digest.
 	trigger       chan struct{}
 	alignToLeader chan struct{}
 
-	// noticeLimiter bounds how often others are told at once.
+	// noticeLimiter limits the rate of notices.
 	noticeLimiter *rate.Limiter
 
 	mu       sync.Mutex
 	sequence uint64
-	// pulls are the peers that are being asked, by address.
+	// pulls holds the state of the Pull calls in progress, by peer address.
 	pulls map[string]*pullState
 }
 
@@ -136,14 +145,14 @@
 	listener, err := options.Network.Listen(options.Address)
 	if err != nil {
 		_ = packets.Close()
-		return nil, nil, eris.Wrap(err, "listen for calls of peers")
+		return nil, nil, eris.Wrap(err, "listen for peer calls")
 	}
 	n := &Node{options: options, packets: packets, server: grpc.NewServer(), trigger: make(chan struct{}, 1), alignToLeader: make(chan struct{}, 1), noticeLimiter: newNoticeLimiter(), pulls: map[string]*pullState{}}
 	gossippb.RegisterPeersServer(n.server, n)
 	return n, listener, nil
 }
 
-// Run takes part until the context ends.
+// Run sends and receives gossip until the context ends.
 func (n *Node) Run(ctx context.Context, listener net.Listener) {
 	var running sync.WaitGroup
 	running.Go(func() { n.receiveLoop(ctx) })
@@ -154,7 +163,7 @@
 	running.Wait()
 }
 
-// TriggerReport sends the next report at once.
+// TriggerReport sends the next report as soon as minSendInterval allows.
 func (n *Node) TriggerReport() { notify(n.trigger) }
 
 func notify(channel chan struct{}) {
@@ -168,29 +177,29 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var sent time.Time
-	hurry := false
+	triggered := false
 	for {
 		select {
 		case <-timer.C:
 			n.sendRound()
-			sent, hurry = time.Now(), false
+			sent, triggered = time.Now(), false
 			timer.Reset(n.ReportInterval(sent))
 		case <-n.trigger:
-			hurry = true
+			triggered = true
 			timer.Reset(max(0, minSendInterval-time.Since(sent)))
 		case <-n.alignToLeader:
-			if !hurry {
+			if !triggered {
 				timer.Reset(n.ReportInterval(time.Now()) - ReportLeadTime)
 			}
 		case <-ctx.Done():
-			// What was counted last.
+			// Sends the last counts before shutdown.
 			n.sendRound()
 			return
 		}
 	}
 }
 
-// ReportInterval returns the time between two reports.
+// ReportInterval returns the current time between two reports.
 func (n *Node) ReportInterval(now time.Time) time.Duration {
 	daemons := 1 + len(n.options.Members.Known(now))
 	return min(maxReportInterval, max(minReportInterval, time.Duration(daemons)*reportIntervalPerDaemon))
@@ -202,21 +211,21 @@
 		size, _, err := n.packets.ReadFrom(buffer)
 		if err != nil {
 			if ctx.Err() == nil {
-				n.options.Logger.Warn("datagrams cannot be read", "error", err)
+				n.options.Logger.Warn("cannot read datagrams", "error", err)
 				time.Sleep(maxReportInterval)
 			}
 			continue
 		}
 		var status gossippb.Status
 		if err := proto.Unmarshal(buffer[:size], &status); err != nil {
-			n.options.Logger.Warn("datagram cannot be decoded", "error", err, "bytes", size)
+			n.options.Logger.Warn("cannot decode datagram", "error", err, "bytes", size)
 			continue
 		}
 		n.handleStatus(ctx, &status)
 	}
 }
 
-// countingDuration returns for how long the sender has counted what the workspaces use.
+// countingDuration returns for how long the sender has counted the workspaces' usage.
 func countingDuration(status *gossippb.Status) time.Duration {
 	ms := status.GetCountingMs()
 	if ms == 0 {
@@ -225,7 +234,7 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// handleStatus handles a peer's report.
+// handleStatus processes a datagram of a peer.
 func (n *Node) handleStatus(ctx context.Context, status *gossippb.Status) {
 	if status.GetVm() == n.options.VM || status.GetVm() == "" {
 		return
@@ -247,7 +256,7 @@
 		n.options.Members.Learn(p.GetVm(), p.GetZone(), p.GetAddress(), now)
 	}
 	if unknown {
-		n.options.Logger.Info("peer heard", "peer", status.GetVm(), "incarnation", status.GetIncarnation(), "config_version", status.GetConfigVersion())
+		n.options.Logger.Info("first report received from peer", "peer", status.GetVm(), "incarnation", status.GetIncarnation(), "config_version", status.GetConfigVersion())
 	}
 	n.options.Sink.HandleReport(status, unknown)
 	if status.GetOwn() != nil {
@@ -264,8 +273,8 @@
 	}
 }
 
-// redirectReporter answers a report that should have gone to another daemon with the names
-// of those it should go to.
+// redirectReporter answers a report that was sent to the wrong daemon with a list of the
+// daemons that it should go to.
 func (n *Node) redirectReporter(status *gossippb.Status, now time.Time) {
 	plan := n.options.Members.Plan(n.options.Source.LocalState(), now)
 	if plan.Relay && status.GetZone() == n.options.Zone {
@@ -275,9 +284,9 @@
 	n.sequence++
 	sequence := n.sequence
 	n.mu.Unlock()
-	answer := n.newStatus(sequence)
+	reply := n.newStatus(sequence)
 	for _, p := range n.options.Members.relayCandidates(status.GetZone(), now) {
-		answer.Known = append(answer.Known, &gossippb.Peer{Vm: p.VM, Zone: p.Zone, Address: p.Address})
+		reply.Known = append(reply.Known, &gossippb.Peer{Vm: p.VM, Zone: p.Zone, Address: p.Address})
 	}
-	n.sendTo(answer, status.GetAddress())
+	n.sendTo(reply, status.GetAddress())
 }
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// unreachableAfter is how long a peer may be unheard before it counts as not
-	// reached: three reports and the delay of a slow link.
+	// unreachableAfter is how long after its last datagram a peer counts as unreachable:
+	// three reports plus the delay of a slow link.
 	unreachableAfter = 1500 * time.Millisecond
-	// sendUsesFor is how long a daemon is told what was used before it began to count: seven
-	// reports of a large deployment.
+	// sendUsesFor is how long after a daemon began to count it is sent the usage from
+	// before that time: seven reports of a large deployment.
 	sendUsesFor = 3 * time.Second
-	// forgetAfter is how long a silent peer still counts as a daemon of the
-	// deployment. Until then its part of shared limits stays unused.
+	// forgetAfter is how long a silent peer still counts as a daemon of the deployment.
+	// Until then its share of shared limits stays unused.
 	forgetAfter = 30 * time.Second
 )
 
-// Peer is another daemon.
+// Peer describes another daemon, as of its last report.
 type Peer struct {
 	VM      string
 	Zone    string
 	Address string
 	// Incarnation identifies the peer's process.
 	Incarnation uint64
-	// CountingFor is for how long what the workspaces use had been counted at the peer's last
-	// report, without a gap.
+	// CountingFor is for how long the workspaces' usage had been counted without a gap at
+	// the peer's last report.
 	CountingFor time.Duration
-	// ConfigVersion and ServersRevision are what the peer believes.
+	// ConfigVersion and ServersRevision are the versions that the peer has.
 	ConfigVersion   int64
 	ServersRevision int64
 	// Fence is the fencing number of the lease that the peer holds, or zero.
@@ -39,35 +39,36 @@
 	Draining bool
 	// StoreFailing is set while the store does not answer the peer.
 	StoreFailing bool
-	// FollowsStore is set while the peer follows the store for its zone.
+	// FollowsStore is set while the peer follows the store on behalf of its zone.
 	FollowsStore bool
-	// LastHeardAt is when the peer's last datagram came; LastLearnedAt is when this daemon
-	// last learned from others that the peer is there.
+	// LastHeardAt is when the peer's last datagram arrived. LastLearnedAt is when another
+	// daemon last listed the peer.
 	LastHeardAt   time.Time
 	LastLearnedAt time.Time
 }
 
-// Identity is the daemon whose members these are.
+// Identity identifies the local daemon.
 type Identity struct{ VM, Zone, Address string }
 
-// Members are the daemons that this one knows of.
+// Members holds the daemons that the local daemon knows. It is safe for concurrent use.
 type Members struct {
 	self Identity
 
 	mu    sync.Mutex
 	peers map[string]*member
-	// hints are addresses that may belong to daemons.
+	// hints are addresses at which daemons may be found.
 	hints map[string]bool
 }
 
 type member struct {
 	Peer
 	sequence uint64
-	// unansweredSince is since when reports have gone to the peer without a sign of it.
+	// unansweredSince is the time of the first report sent to the peer since its last
+	// datagram, or zero.
 	unansweredSince time.Time
 }
 
-// NewMembers returns the members with addresses to begin with.
+// NewMembers returns a member list that starts with only the hint addresses.
 func NewMembers(self Identity, hints []string) *Members {
 	m := &Members{self: self, peers: map[string]*member{}, hints: map[string]bool{}}
 	for _, address := range hints {
@@ -78,7 +79,7 @@
 	return m
 }
 
-// Learn adds a daemon that somebody else named as there.
+// Learn adds a daemon that another daemon listed as a member.
 func (m *Members) Learn(vm, zone, address string, now time.Time) {
 	if vm == m.self.VM {
 		return
@@ -93,8 +94,8 @@
 	p.LastLearnedAt = now
 }
 
-// recordReport takes over a peer's own report. It returns false for one that is not
-// newer than the last, and whether the process was unknown.
+// recordReport stores a report received from the peer itself. fresh is false if the
+// report is not newer than the last one; unknown is set if the process was not known.
 func (m *Members) recordReport(report Peer, sequence uint64, now time.Time) (fresh, unknown bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,14 +108,14 @@
 	if !unknown && sequence <= p.sequence {
 		return false, false
 	}
-	named := p.LastLearnedAt
+	learnedAt := p.LastLearnedAt
 	p.Peer, p.sequence, p.unansweredSince = report, sequence, time.Time{}
-	p.LastLearnedAt, p.LastHeardAt = named, now
+	p.LastLearnedAt, p.LastHeardAt = learnedAt, now
 	delete(m.hints, report.Address)
 	return true, unknown
 }
 
-// recordSent notes that a report goes to a peer.
+// recordSent records that a report is being sent to a peer.
 func (m *Members) recordSent(vm string, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -128,37 +129,37 @@
 	return m.filter(func(p *member) bool { return now.Sub(p.lastSeen()) < forgetAfter })
 }
 
-// Reachable returns the peers that are reached now: the relays of this daemon's zone,
-// and for a relay all daemons of the zone and the leads of others.
+// Reachable returns the peers that are reachable now. Only the relays of the zone send to
+// this daemon or, if it is a relay, all daemons of the zone and the leaders of other zones.
 func (m *Members) Reachable(now time.Time) []Peer {
 	return m.filter(func(p *member) bool { return p.Reachable(now) })
 }
 
-// HeardWithin returns the peers that were heard in the last while.
-func (m *Members) HeardWithin(while time.Duration, now time.Time) []Peer {
-	return m.filter(func(p *member) bool { return !p.LastHeardAt.IsZero() && now.Sub(p.LastHeardAt) < while })
+// HeardWithin returns the peers whose last datagram arrived within the given duration.
+func (m *Members) HeardWithin(window time.Duration, now time.Time) []Peer {
+	return m.filter(func(p *member) bool { return !p.LastHeardAt.IsZero() && now.Sub(p.LastHeardAt) < window })
 }
 
-// Reachable reports whether the peer is reached now.
+// Reachable reports whether the peer's last datagram is recent enough.
 func (p *Peer) Reachable(now time.Time) bool {
 	return !p.LastHeardAt.IsZero() && now.Sub(p.LastHeardAt) < unreachableAfter
 }
 
-// suspected reports whether the peer has been asked for a while in vain.
+// suspected reports whether the peer has left reports unanswered for unreachableAfter.
 func (p *member) suspected(now time.Time) bool {
 	return !p.Reachable(now) && !p.unansweredSince.IsZero() && now.Sub(p.unansweredSince) >= unreachableAfter
 }
 
-// mayLackUses reports whether the peer may not know what was used a while ago: it has just
-// started, or stood still.
+// mayLackUses reports whether the peer may lack the recent usage because its process has
+// just started or was suspended.
 func (p *Peer) mayLackUses(now time.Time) bool {
 	return !p.LastHeardAt.IsZero() && p.CountingFor+now.Sub(p.LastHeardAt) < sendUsesFor
 }
 
-// lacksUses reports whether the peer may lack uses that were counted for longer than it counts.
+// lacksUses reports whether uses covers a longer time than the peer has counted.
 func (p *Peer) lacksUses(uses *gossippb.Uses, now time.Time) bool {
-	known := time.Duration(uses.GetKnownMs()) * time.Millisecond
-	return uses != nil && p.mayLackUses(now) && known > p.CountingFor+now.Sub(p.LastHeardAt)
+	covered := time.Duration(uses.GetKnownMs()) * time.Millisecond
+	return uses != nil && p.mayLackUses(now) && covered > p.CountingFor+now.Sub(p.LastHeardAt)
 }
 
 func (p *Peer) lastSeen() time.Time {
@@ -183,24 +184,25 @@
 
 func compareByVM(a, b Peer) int { return cmp.Compare(a.VM, b.VM) }
 
-// maxHints bounds the addresses that are remembered: those of a zone at the size to
-// design for.
+// maxHints bounds the number of hint addresses. It is the number of daemons per zone at
+// the target deployment size.
 const maxHints = 64
 
-// Sweep forgets peers that have been silent for long, and returns them. Their addresses
-// stay as hints: a long cut may end.
+// Sweep removes peers that have been silent for forgetAfter and returns them. Their
+// addresses are kept as hints, so that the zones find each other again after a long
+// partition.
 func (m *Members) Sweep(now time.Time) []Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var gone []Peer
+	var forgotten []Peer
 	for vm, p := range m.peers {
 		if now.Sub(p.lastSeen()) >= forgetAfter {
-			gone = append(gone, p.Peer)
+			forgotten = append(forgotten, p.Peer)
 			delete(m.peers, vm)
 			if len(m.hints) < maxHints {
 				m.hints[p.Address] = true
 			}
 		}
 	}
-	return gone
+	return forgotten
 }
--- a/internal/gossip/members_test.go
+++ b/internal/gossip/members_test.go
@@ -26,7 +26,7 @@
 	fresh, _ = m.recordReport(report("b", 1), 4, start)
 	c.Check(fresh, qt.IsFalse)
 	fresh, unknown = m.recordReport(report("b", 2), 1, start)
-	c.Check(fresh && unknown, qt.IsTrue, qt.Commentf("a restarted process counts anew"))
+	c.Check(fresh && unknown, qt.IsTrue, qt.Commentf("the sequence of a restarted process starts again"))
 }
 
 func TestSilentPeersStayKnownForAWhile(t *testing.T) {
@@ -39,7 +39,7 @@
 	c.Check(m.Reachable(start.Add(unreachableAfter)), qt.HasLen, 0)
 	c.Check(m.Known(start.Add(forgetAfter-1)), qt.HasLen, 2)
 	m.Learn("c", "z", "c:1", start.Add(time.Second))
-	c.Check(m.Sweep(start.Add(forgetAfter)), qt.HasLen, 1, qt.Commentf("c was named again"))
+	c.Check(m.Sweep(start.Add(forgetAfter)), qt.HasLen, 1, qt.Commentf("c was learned again"))
 	c.Check(m.Known(start), qt.HasLen, 1)
 }
 
@@ -51,7 +51,7 @@
 	c.Check(m.hintAddresses(), qt.DeepEquals, []string{"gone:1"})
 }
 
-// reportAll lets a daemon hear others of its zone.
+// reportAll records a report of each daemon, in the local daemon's zone.
 func reportAll(m *Members, now time.Time, vms ...string) {
 	for _, vm := range vms {
 		m.recordReport(report(vm, 1), uint64(now.UnixNano()), now)
@@ -96,13 +96,13 @@
 	m := NewMembers(Identity{VM: "b", Zone: "z"}, nil)
 	reportAll(m, start, "a", "c", "d")
 	c.Check(m.Plan(LocalState{}, start).FollowsStore, qt.IsFalse)
-	refused := report("a", 1)
-	refused.StoreFailing = true
-	m.recordReport(refused, uint64(start.UnixNano())+1, start)
+	withoutStore := report("a", 1)
+	withoutStore.StoreFailing = true
+	m.recordReport(withoutStore, uint64(start.UnixNano())+1, start)
 	plan := m.Plan(LocalState{}, start)
 	c.Check(plan.FollowsStore, qt.IsTrue)
-	c.Check(plan.LeaderVM, qt.Equals, "a", qt.Commentf("who tells the sums does not depend on the store"))
-	c.Check(vmsOf(plan.ReportTo), qt.DeepEquals, []string{"a", "c"}, qt.Commentf("one more relay stands in"))
+	c.Check(plan.LeaderVM, qt.Equals, "a", qt.Commentf("the leader does not depend on the store"))
+	c.Check(vmsOf(plan.ReportTo), qt.DeepEquals, []string{"a", "c"}, qt.Commentf("one more relay is added"))
 	plan = m.Plan(LocalState{StoreFailing: true}, start)
 	c.Check(plan.FollowsStore, qt.IsFalse)
 	c.Check(plan.Relay, qt.IsTrue)
@@ -111,9 +111,9 @@
 func TestAllRelaysFollowWhileNoneReachesTheStore(t *testing.T) {
 	c := qt.New(t)
 	m := NewMembers(Identity{VM: "b", Zone: "z"}, nil)
-	refused := report("a", 1)
-	refused.StoreFailing = true
-	m.recordReport(refused, 1, start)
+	withoutStore := report("a", 1)
+	withoutStore.StoreFailing = true
+	m.recordReport(withoutStore, 1, start)
 	c.Check(m.Plan(LocalState{StoreFailing: true}, start).FollowsStore, qt.IsTrue)
 }
 
@@ -136,12 +136,13 @@
 	m := NewMembers(Identity{VM: "a", Zone: "z"}, nil)
 	m.Learn("p", "y", "p:1", start)
 	plan := m.Plan(LocalState{Draining: true}, start)
-	c.Check(plan.Leader, qt.IsTrue, qt.Commentf("what it has counted must reach the others"))
+	c.Check(plan.Leader, qt.IsTrue, qt.Commentf("its counts must reach the other zones"))
 	c.Check(vmsOf(plan.RemoteRelays), qt.DeepEquals, []string{"p"})
 }
 
-// TestMessagesGrowLinearlyWithTheZone: all daemons of a zone agree on two relays, and
-// the messages of a round grow with the number of daemons, not with its square.
+// TestMessagesGrowLinearlyWithTheZone checks that all daemons of a zone choose the same
+// two relays, and that the number of messages per round grows linearly with the number of
+// daemons and not with its square.
 func TestMessagesGrowLinearlyWithTheZone(t *testing.T) {
 	c := qt.New(t)
 	const daemons = 60
@@ -167,8 +168,8 @@
 
 func vmName(i int) string { return string(rune('a'+i/26)) + string(rune('a'+i%26)) }
 
-// TestSilentZoneIsStillTold: a lead tells daemons of a zone of which it hears none, in
-// turns, and of a zone that is heard its relays alone.
+// TestSilentZoneIsStillTold checks that a leader sends to daemons of an unreachable zone,
+// in rotation, and only to the relays of a reachable zone.
 func TestSilentZoneIsStillTold(t *testing.T) {
 	c := qt.New(t)
 	m := NewMembers(Identity{VM: "a", Zone: "z", Address: "a:1"}, nil)
@@ -180,19 +181,20 @@
 	for _, vm := range []string{"p", "q", "r", "s"} {
 		m.recordSent(vm, later)
 	}
-	told := map[string]bool{}
+	contacted := map[string]bool{}
 	for range 8 {
 		later = later.Add(2 * unreachableAfter)
-		far := m.Plan(LocalState{}, later).RemoteRelays
-		c.Check(len(far) > 0, qt.IsTrue, qt.Commentf("at %v", later.Sub(start)))
-		for _, p := range far {
-			told[p.VM] = true
+		remote := m.Plan(LocalState{}, later).RemoteRelays
+		c.Check(len(remote) > 0, qt.IsTrue, qt.Commentf("at %v", later.Sub(start)))
+		for _, p := range remote {
+			contacted[p.VM] = true
 		}
 	}
-	c.Check(len(told) >= 3, qt.IsTrue, qt.Commentf("%v", told))
+	c.Check(len(contacted) >= 3, qt.IsTrue, qt.Commentf("%v", contacted))
 }
 
-// TestForgottenPeersStayAsHints: a cut that lasts longer than peers are remembered may end.
+// TestForgottenPeersStayAsHints checks that peers can be found again after a partition
+// that outlasts forgetAfter.
 func TestForgottenPeersStayAsHints(t *testing.T) {
 	c := qt.New(t)
 	m := NewMembers(self, nil)
--- a/internal/gossip/notice.go
+++ b/internal/gossip/notice.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// maxNoticeRecipients is the number of daemons that are told at once of what this one has
-	// sent, maxNoticesPerSecond how often a second. A notice has some 70 bytes with its headers,
-	// so that both together bound the cost to 1.1 KB a second, inside what control may
-	// cost at the size to design for; the users' busiest daemon of today sends one a
-	// second to six others.
+	// maxNoticeRecipients is the number of daemons that receive a notice, and
+	// maxNoticesPerSecond bounds the rate of notices. A notice has about 70 bytes
+	// including headers, so the two limit the cost to 1.1 KB/s, within the budget for
+	// control traffic at the target deployment size. The busiest production daemon sends
+	// one notice per second to six others.
 	maxNoticeRecipients = 8
 	maxNoticesPerSecond = 2
-	// noticeBurst may be sent in a row.
+	// noticeBurst is the number of notices that may be sent back to back.
 	noticeBurst = 4
 )
 
 func newNoticeLimiter() *rate.Limiter { return rate.NewLimiter(maxNoticesPerSecond, noticeBurst) }
 
-// SendNotice tells some daemons what this one has just sent to a server, before the sums
-// that hold it come round. Which ones are told is drawn by chance where there are many.
+// SendNotice informs other daemons of what this one has just sent to a backend server,
+// before the next totals include it. Recipients are sampled at random if there are more
+// than maxNoticeRecipients daemons.
 func (n *Node) SendNotice(load *gossippb.Load) {
 	now := time.Now()
 	if !n.noticeLimiter.AllowN(now, 1) {
@@ -35,11 +36,11 @@
 	}
 }
 
-// samplePeers returns at most so many of the peers, by chance.
-func samplePeers(peers []Peer, most int) []Peer {
-	if len(peers) <= most {
+// samplePeers returns a random sample of at most limit peers. It may reorder peers.
+func samplePeers(peers []Peer, limit int) []Peer {
+	if len(peers) <= limit {
 		return peers
 	}
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	return peers[:most]
+	return peers[:limit]
 }
--- a/internal/gossip/notice_test.go
+++ b/internal/gossip/notice_test.go
@@ -8,27 +8,28 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestNoticeRecipientsAreSampled: where there are many daemons some are drawn, not always the same ones.
+// TestNoticeRecipientsAreSampled checks that in a large deployment each notice goes to a
+// different random sample.
 func TestNoticeRecipientsAreSampled(t *testing.T) {
 	c := qt.New(t)
-	told := map[string]bool{}
+	recipients := map[string]bool{}
 	for range 200 {
 		var peers []Peer
 		for i := range 80 {
 			peers = append(peers, Peer{VM: fmt.Sprint(i)})
 		}
-		few := samplePeers(peers, maxNoticeRecipients)
-		c.Assert(few, qt.HasLen, maxNoticeRecipients)
-		for _, p := range few {
-			told[p.VM] = true
+		sample := samplePeers(peers, maxNoticeRecipients)
+		c.Assert(sample, qt.HasLen, maxNoticeRecipients)
+		for _, p := range sample {
+			recipients[p.VM] = true
 		}
 	}
-	c.Check(told, qt.HasLen, 80)
+	c.Check(recipients, qt.HasLen, 80)
 	c.Check(samplePeers([]Peer{{VM: "a"}}, maxNoticeRecipients), qt.HasLen, 1)
 }
 
-// TestNoticesAreBounded: however many large prompts there are, a daemon tells of two a
-// second.
+// TestNoticesAreBounded checks that a daemon sends at most two notices per second,
+// however many large prompts arrive.
 func TestNoticesAreBounded(t *testing.T) {
 	c := qt.New(t)
 	limiter, now, sent := newNoticeLimiter(), time.Unix(1000, 0), 0
--- a/internal/gossip/plan.go
+++ b/internal/gossip/plan.go
@@ -7,41 +7,43 @@
 )
 
 const (
-	// relaysPerZone is the number of daemons of a zone to which all others of it
-	// report: one that relays and one that can take over at once.
+	// relaysPerZone is the number of relays of a zone, to which all its other daemons
+	// report: one that sends the totals and one that can take over at once.
 	relaysPerZone = 2
-	// maxRelaysPerZone bounds them when the store does not answer some.
+	// maxRelaysPerZone is the maximum number of relays while the store does not answer
+	// some of them.
 	maxRelaysPerZone = 4
 )
 
-// Plan is a daemon's part in the gossip at a moment. All daemons make theirs from
-// what each knows, without asking; while they disagree, some tell too much.
+// Plan is a daemon's current role in the gossip. Each daemon computes its plan from its
+// own member list without coordination. While the lists differ, some daemons send more
+// than necessary.
 type Plan struct {
-	// Relay is set for a relay of the zone, Lead for the first of them, which tells
-	// the sums. LeaderVM names it.
+	// Relay is set for a relay of the zone. Leader is set for the first relay, which
+	// sends the totals. LeaderVM is its VM.
 	Relay, Leader bool
 	LeaderVM      string
-	// FollowsStore is set for the relay that follows the store: the first that the store
-	// answers. While it answers none, all relays try.
+	// FollowsStore is set for the relay that follows the store: the first one that the
+	// store answers. If the store answers none, all relays try.
 	FollowsStore bool
-	// ReportTo are the other relays of the zone.
+	// ReportTo holds the relays of the zone other than this daemon.
 	ReportTo []Peer
-	// ZonePeers are the other daemons of the zone, for a relay to tell, and for who follows the store
-	// in place of relays that have fallen silent.
+	// ZonePeers holds the other daemons of the zone. It is set for relays, and for a
+	// daemon that follows the store in place of relays that have become silent.
 	ZonePeers []Peer
-	// RemoteRelays are the relays of other zones, for the lead to tell.
+	// RemoteRelays holds the relays of other zones; it is set for the leader.
 	RemoteRelays []Peer
-	// DutyRank is this daemon's place among those that may act for all, from zero:
-	// the relays of all zones first, then the others.
+	// DutyRank is this daemon's zero-based rank among the daemons that may act for the
+	// whole deployment: first the relays of all zones, then the others.
 	DutyRank int
-	// ZoneRank is its place among the daemons of its zone, from zero.
+	// ZoneRank is this daemon's zero-based rank in its zone.
 	ZoneRank int
 }
 
-// LocalState is what a daemon knows of itself.
+// LocalState is the state of the local daemon that its plan depends on.
 type LocalState struct{ StoreFailing, Draining, FollowsStore bool }
 
-// Plan returns the part of this daemon.
+// Plan returns the current role of the local daemon.
 func (m *Members) Plan(self LocalState, now time.Time) Plan {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -57,11 +59,11 @@
 		plan.LeaderVM = own[0].VM
 	}
 	plan.Leader = plan.LeaderVM == m.self.VM
-	answered := slices.IndexFunc(own, func(p Peer) bool { return !p.StoreFailing })
+	firstAnswered := slices.IndexFunc(own, func(p Peer) bool { return !p.StoreFailing })
 	for i, p := range own {
 		if p.VM == m.self.VM {
 			plan.Relay = true
-			plan.FollowsStore = answered < 0 || answered == i
+			plan.FollowsStore = firstAnswered < 0 || firstAnswered == i
 			continue
 		}
 		plan.ReportTo = append(plan.ReportTo, p)
@@ -77,8 +79,8 @@
 	return plan
 }
 
-// candidates returns the daemons of each zone that may relay: those that do not
-// drain, or where all do, all. The caller holds the lock.
+// candidates returns the daemons of each zone that may be relays: those that are not
+// draining or, if all are draining, all of them. The caller holds the lock.
 func (m *Members) candidates(self LocalState, now time.Time) map[string][]Peer {
 	staying, draining := map[string][]Peer{}, map[string][]Peer{}
 	add := func(p Peer) {
@@ -102,12 +104,13 @@
 	return staying
 }
 
-// probeRotation is how long a lead tells the same daemons of a zone of which it hears none.
+// probeRotation is how long a leader sends to the same daemons of an unreachable zone.
 const probeRotation = time.Second
 
-// probeTargets returns daemons to tell in other zones of which none is heard: such a zone
-// may be cut off, and while nobody tells it anything neither side learns that the cut is
-// over. They take turns, since some may have gone for good. The caller holds the lock.
+// probeTargets returns daemons to send to in zones without a reachable daemon. Such a
+// zone may be partitioned, and if neither side sends, neither detects that the partition
+// has ended. The targets rotate because some of the daemons may be gone for good. The
+// caller holds the lock.
 func (m *Members) probeTargets(heard map[string][]Peer, now time.Time) []Peer {
 	silent := map[string][]Peer{}
 	for _, p := range m.peers {
@@ -115,20 +118,20 @@
 			silent[p.Zone] = append(silent[p.Zone], p.Peer)
 		}
 	}
-	var told []Peer
+	var targets []Peer
 	for _, zone := range slices.Sorted(maps.Keys(silent)) {
 		peers := silent[zone]
 		slices.SortFunc(peers, compareByVM)
 		first := int(now.UnixNano() / int64(probeRotation) % int64(len(peers)))
 		for i := range min(relaysPerZone, len(peers)) {
-			told = append(told, peers[(first+i)%len(peers)])
+			targets = append(targets, peers[(first+i)%len(peers)])
 		}
 	}
-	return told
+	return targets
 }
 
-// pickRelays returns the first daemons, one more for each that the store does not
-// answer.
+// pickRelays returns the first daemons of a zone, plus one more for each that the store
+// does not answer.
 func pickRelays(daemons []Peer) []Peer {
 	wanted := relaysPerZone
 	var relays []Peer
@@ -144,8 +147,8 @@
 	return relays
 }
 
-// zonePeers returns all other daemons of the zone, also those that are silent; the
-// caller holds the lock.
+// zonePeers returns all other daemons of the zone, including silent ones. The caller
+// holds the lock.
 func (m *Members) zonePeers(now time.Time) []Peer {
 	var peers []Peer
 	for _, p := range m.peers {
@@ -158,37 +161,37 @@
 }
 
 func remoteRelays(relays map[string][]Peer, own string) []Peer {
-	var far []Peer
+	var remote []Peer
 	for _, name := range slices.Sorted(maps.Keys(relays)) {
 		if name != own {
-			far = append(far, relays[name]...)
+			remote = append(remote, relays[name]...)
 		}
 	}
-	return far
+	return remote
 }
 
-// dutyRank counts the daemons that may act before this one.
+// dutyRank counts the daemons that rank before the local one.
 func (m *Members) dutyRank(zone []Peer, relays map[string][]Peer, relay bool) int {
-	place := 0
+	rank := 0
 	for _, peers := range relays {
 		for _, p := range peers {
 			if !p.StoreFailing && p.VM != m.self.VM && (!relay || p.VM < m.self.VM) {
-				place++
+				rank++
 			}
 		}
 	}
 	if relay {
-		return place
+		return rank
 	}
 	for _, p := range zone {
 		if p.VM < m.self.VM {
-			place++
+			rank++
 		}
 	}
-	return place
+	return rank
 }
 
-// relayCandidates returns the daemons of a zone that come first and may relay.
+// relayCandidates returns the first daemons of a zone that may be relays.
 func (m *Members) relayCandidates(zone string, now time.Time) []Peer {
 	peers := m.filter(func(p *member) bool {
 		return p.Zone == zone && !p.Draining && !p.suspected(now) && now.Sub(p.lastSeen()) < forgetAfter
@@ -196,7 +199,7 @@
 	return peers[:min(len(peers), maxRelaysPerZone)]
 }
 
-// hintAddresses are asked while no daemon is heard.
+// hintAddresses returns the addresses to report to while no daemon is reachable.
 func (m *Members) hintAddresses() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/gossip/pull.go
+++ b/internal/gossip/pull.go
@@ -10,38 +10,38 @@
 	"github.com/plankridge/plankridge/internal/gossip/gossippb"
 )
 
-// pullState is a peer that is being asked.
+// pullState is the state of the Pull calls to one peer.
 type pullState struct {
-	// startedAt is when the present call to it began.
+	// startedAt is when the current call started.
 	startedAt time.Time
-	// repeat is set where another call is due after it.
+	// repeat is set if another call must follow the current one.
 	repeat bool
 }
 
-// beginPull reports whether a call to the peer may begin. Where one is under way, another
-// follows it: the peer has told of something newer since, and its next report may be half
-// a second away.
+// beginPull reports whether a Pull call to the peer may start. If one is in progress, it
+// schedules another one after it: the peer has reported newer data since that call
+// started, and its next report may be half a second away.
 func (n *Node) beginPull(address string, now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if under := n.pulls[address]; under != nil {
-		under.repeat = true
+	if inProgress := n.pulls[address]; inProgress != nil {
+		inProgress.repeat = true
 		return false
 	}
-	lately := 0
+	recent := 0
 	for _, p := range n.pulls {
 		if now.Sub(p.startedAt) < slowPullAfter {
-			lately++
+			recent++
 		}
 	}
-	if lately >= maxConcurrentPulls {
+	if recent >= maxConcurrentPulls {
 		return false
 	}
 	n.pulls[address] = &pullState{startedAt: now}
 	return true
 }
 
-// endPull reports whether another call to the peer is due.
+// endPull reports whether another call to the peer must follow.
 func (n *Node) endPull(address string, now time.Time) (again bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -54,20 +54,20 @@
 	return false
 }
 
-// pull asks the peer for what is newer, until it has told of nothing more meanwhile.
+// pull calls the peer until it has reported no newer data during the last call.
 func (n *Node) pull(ctx context.Context, address string) {
 	for again := true; again && ctx.Err() == nil; {
 		again = n.pullOnce(ctx, address) || n.endPull(address, time.Now())
 	}
 }
 
-// pullOnce makes one call and reports whether another one is due at once.
+// pullOnce makes one call and reports whether another one must follow at once.
 func (n *Node) pullOnce(ctx context.Context, address string) (again bool) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	reply, err := n.callPull(ctx, address)
 	if err != nil {
-		n.options.Logger.Warn("peer could not be asked", "peer_address", address, "error", err)
+		n.options.Logger.Warn("cannot pull from peer", "peer_address", address, "error", err)
 		return false
 	}
 	return n.options.Sink.HandlePullReply(reply)
--- a/internal/gossip/pull_test.go
+++ b/internal/gossip/pull_test.go
@@ -10,21 +10,22 @@
 
 var pullStart = time.Unix(1000, 0)
 
-// TestConcurrentPullsAreBounded: however many have something newer.
+// TestConcurrentPullsAreBounded checks the bound when many peers report newer data at
+// once.
 func TestConcurrentPullsAreBounded(t *testing.T) {
 	c := qt.New(t)
 	n := &Node{pulls: map[string]*pullState{}}
-	asked := 0
+	started := 0
 	for i := range 20 {
 		if n.beginPull(fmt.Sprintf("10.0.0.%d:1", i), pullStart) {
-			asked++
+			started++
 		}
 	}
-	c.Check(asked, qt.Equals, maxConcurrentPulls)
+	c.Check(started, qt.Equals, maxConcurrentPulls)
 }
 
-// TestPullIsRepeatedAfterANewerReport: what it told of while it was being asked is fetched next, without
-// waiting for its next report.
+// TestPullIsRepeatedAfterANewerReport checks that data reported during a call is fetched
+// by a second call, without waiting for the peer's next report.
 func TestPullIsRepeatedAfterANewerReport(t *testing.T) {
 	c := qt.New(t)
 	n := &Node{pulls: map[string]*pullState{}}
@@ -38,8 +39,8 @@
 	c.Check(n.pulls, qt.HasLen, 0)
 }
 
-// TestSilentPeersHoldNobodyUp: peers that have lost power while they are asked answer nothing for
-// seconds; what others have is fetched meanwhile.
+// TestSilentPeersHoldNobodyUp checks that calls to peers that lost power, which do not
+// answer for seconds, do not block calls to other peers.
 func TestSilentPeersHoldNobodyUp(t *testing.T) {
 	c := qt.New(t)
 	n := &Node{pulls: map[string]*pullState{}}
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -9,11 +9,11 @@
 	"github.com/plankridge/plankridge/internal/gossip/gossippb"
 )
 
-// sendRound tells each peer what this daemon's part asks for.
+// sendRound sends the messages that the daemon's current plan requires.
 func (n *Node) sendRound() {
 	now := time.Now()
-	for _, gone := range n.options.Members.Sweep(now) {
-		n.options.Logger.Info("peer forgotten", "peer", gone.VM, "silent_s", now.Sub(gone.lastSeen()).Seconds())
+	for _, forgotten := range n.options.Members.Sweep(now) {
+		n.options.Logger.Info("peer forgotten", "peer", forgotten.VM, "silent_s", now.Sub(forgotten.lastSeen()).Seconds())
 	}
 	plan := n.options.Members.Plan(n.options.Source.LocalState(), now)
 	n.mu.Lock()
@@ -38,9 +38,9 @@
 	}
 }
 
-// sendToZone tells the daemons of the zone, from a relay or from who follows the store in place
-// of one. What differs between the receivers is added to the common part: parts of a message add
-// up.
+// sendToZone sends to the daemons of the zone, from a relay or from a daemon that follows
+// the store in place of one. The common part is encoded once and the fields for each
+// receiver are appended, since protobuf merges concatenated messages.
 func (n *Node) sendToZone(plan Plan, own *gossippb.Counts, sequence uint64, now time.Time) {
 	if len(plan.ZonePeers) == 0 {
 		return
@@ -54,7 +54,7 @@
 	}
 	raw, err := proto.Marshal(common)
 	if err != nil {
-		n.options.Logger.Error("report could not be encoded", "error", err)
+		n.options.Logger.Error("cannot encode report", "error", err)
 		return
 	}
 	uses := n.usesFor(plan.ZonePeers, now)
@@ -77,8 +77,8 @@
 	}
 }
 
-// usesFor returns what the workspaces have used lately if one of the peers may not know it,
-// or nothing.
+// usesFor returns the recent usage of the workspaces if one of the peers may lack it, or
+// nil.
 func (n *Node) usesFor(peers []Peer, now time.Time) *gossippb.Uses {
 	if !slices.ContainsFunc(peers, func(p Peer) bool { return p.mayLackUses(now) }) {
 		return nil
@@ -90,12 +90,12 @@
 	return uses
 }
 
-// reportsPerHint is how often, in reports, a lead tells one address at which a daemon may be
-// that it does not know any more.
+// reportsPerHint is the number of a leader's reports per report that it also sends to a
+// hint address.
 const reportsPerHint = 4
 
-// sendToRemoteZones tells the relays of other zones, from the lead, and now and then an address of a
-// daemon that was forgotten.
+// sendToRemoteZones sends the leader's zone totals to the relays of other zones and, in
+// some reports, to the hint address of a forgotten daemon.
 func (n *Node) sendToRemoteZones(plan Plan, sequence uint64, now time.Time) {
 	hint := n.nextHint(plan, sequence)
 	if len(plan.RemoteRelays) == 0 && hint == "" {
@@ -113,7 +113,7 @@
 	}
 }
 
-// nextHint returns the address that a lead tells beside the daemons that it knows, or nothing.
+// nextHint returns the hint address that the leader also sends this report to, or "".
 func (n *Node) nextHint(plan Plan, sequence uint64) string {
 	hints := n.options.Members.hintAddresses()
 	if !plan.Leader || len(hints) == 0 || sequence%reportsPerHint != 0 {
@@ -122,12 +122,13 @@
 	return hints[sequence/reportsPerHint%uint64(len(hints))]
 }
 
-// memberList lists the first peers of each zone that have been heard lately.
-func memberList(peers []Peer, most int, now time.Time) []*gossippb.Peer {
+// memberList returns up to limit peers of each zone that have been heard from within
+// forgetAfter.
+func memberList(peers []Peer, limit int, now time.Time) []*gossippb.Peer {
 	var names []*gossippb.Peer
 	count := map[string]int{}
 	for _, p := range peers {
-		if count[p.Zone] < most && !p.LastHeardAt.IsZero() && now.Sub(p.LastHeardAt) < forgetAfter {
+		if count[p.Zone] < limit && !p.LastHeardAt.IsZero() && now.Sub(p.LastHeardAt) < forgetAfter {
 			count[p.Zone]++
 			names = append(names, &gossippb.Peer{Vm: p.VM, Zone: p.Zone, Address: p.Address})
 		}
@@ -154,19 +155,19 @@
 
 func (n *Node) sendTo(status *gossippb.Status, address string) { n.sendMerged(nil, status, address) }
 
-// sendMerged sends an encoded status with what is added for one receiver.
+// sendMerged sends an encoded status with the additional fields for one receiver.
 func (n *Node) sendMerged(raw []byte, extra *gossippb.Status, address string) {
 	datagram, err := proto.MarshalOptions{}.MarshalAppend(slices.Clip(raw), extra)
 	if err != nil {
-		n.options.Logger.Error("report could not be encoded", "error", err)
+		n.options.Logger.Error("cannot encode report", "error", err)
 		return
 	}
 	to, err := n.options.Network.ResolvePacket(address)
 	if err != nil {
-		n.options.Logger.Warn("address of a peer cannot be used", "peer_address", address, "error", err)
+		n.options.Logger.Warn("cannot resolve peer address", "peer_address", address, "error", err)
 		return
 	}
 	if _, err := n.packets.WriteTo(datagram, to); err != nil {
-		n.options.Logger.Debug("report not sent", "peer_address", address, "error", err)
+		n.options.Logger.Debug("cannot send report", "peer_address", address, "error", err)
 	}
 }
