--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,10 +1,10 @@
-// Package lease decides who holds the deployment's one lease, which entitles a
-// daemon to act towards the cloud for all. It does no I/O; the time is passed
-// in, from a clock that only moves forward.
+// Package lease implements the state machine of the deployment's single lease. Its holder
+// is the only daemon that may act towards the cloud on behalf of the deployment. The
+// package does no I/O, and callers pass in the time from a monotonic clock.
 //
-// The lease is one object of the store, written under the condition that it has
-// not changed. Its fencing number is the store's revision of the write that
-// acquired it, so that a later holder always has a higher one.
+// The lease is one object in the store, written with compare-and-swap. Its fencing number
+// is the store revision of the write that acquired it, so a later holder always has a
+// higher number.
 package lease
 
 import (
@@ -17,52 +17,55 @@
 	"github.com/plankridge/plankridge/internal/usage"
 )
 
-// Record is what the store holds.
+// Record is the lease object as stored.
 type Record struct {
-	// Holder is the daemon that holds the lease; empty means that it was given
-	// back.
+	// Holder is the daemon that holds the lease. It is empty after a release.
 	Holder string `json:"holder"`
-	// Address is where the holder listens for its peers.
+	// Address is the address of the holder's peer listener.
 	Address string `json:"address,omitempty"`
-	// Incarnation tells the holder's process from earlier ones.
+	// Incarnation distinguishes the holder's process from earlier ones.
 	Incarnation uint64 `json:"incarnation"`
-	// Renewals numbers the writes: a record that does not change has a holder
-	// that does not act, and a holder knows its own write by its number.
+	// Renewals numbers the writes. If it does not change, the holder is not acting. A
+	// holder recognizes its own write by this number.
 	Renewals int64 `json:"renewals"`
-	// UsageReports are the usage reports that were decided on, by window. They stand
-	// here before they are sent, so that whoever sends one again sends the same.
+	// UsageReports holds the usage reports that have been decided on, by window. They are
+	// stored before they are sent, so that a daemon that sends one again sends the same
+	// report.
 	UsageReports map[int64]usage.Counts `json:"reports,omitempty"`
-	// Snapshot is what daemons that start should know when no other is left to ask.
+	// Snapshot is the state for daemons that start when there is no other daemon to copy
+	// it from.
 	Snapshot Snapshot `json:"memory"`
 }
 
-// Snapshot is what the holder knows of the deployment at a renewal.
+// Snapshot is the holder's view of the deployment at a renewal.
 type Snapshot struct {
 	// Daemons is the number of daemons.
 	Daemons int `json:"daemons"`
-	// WrittenAtMs is the time of day at which this was known, in milliseconds since 1970.
+	// WrittenAtMs is the wall-clock time of the snapshot, in milliseconds since 1970.
 	WrittenAtMs int64 `json:"written_ms,omitempty"`
-	// RecentUses are what the workspaces have used lately.
+	// RecentUses is the recent usage by workspace.
 	RecentUses map[string]allowance.Use `json:"uses,omitempty"`
-	// DemandRates is how fast all daemons are asked, by workspace, in tokens a second.
+	// DemandRates is the total demand at all daemons by workspace, in tokens per second.
 	DemandRates map[string]float64 `json:"asked"`
-	// Warmup is set when the writer of the uses had just started to count them.
+	// Warmup is set if the holder had just started to count RecentUses.
 	Warmup bool `json:"warmup,omitempty"`
-	// Paces are what was learned of the engines, by service.
+	// Paces holds the learned performance figures of the engines, by service.
 	Paces map[string]pace.EngineFigures `json:"paces,omitempty"`
-	// FirstTryLimits are the time limits that first tries of each route state.
+	// FirstTryLimits holds the time limits of first tries, by route.
 	FirstTryLimits map[string]time.Duration `json:"limits,omitempty"`
-	// RequestWindows are the requests that began in the latest windows, over all daemons.
+	// RequestWindows holds the requests that started in the latest windows, over all
+	// daemons.
 	RequestWindows map[int64]usage.Counts `json:"windows,omitempty"`
-	// RollOuts are the versions of the services and the orders that have not ended.
+	// RollOuts holds the versions of the services and the roll-out orders in progress.
 	RollOuts *rollout.Memory `json:"rollouts,omitempty"`
-	// Held are requests under which servers have ended.
+	// Held holds the requests during which servers have ended.
 	Held []quarantine.Word `json:"held,omitempty"`
-	// HeldAtMs is the time of day as of which Held was written, in milliseconds since 1970.
+	// HeldAtMs is the wall-clock time as of which Held is valid, in milliseconds since
+	// 1970.
 	HeldAtMs int64 `json:"held_ms,omitempty"`
 }
 
-// Tracker is one daemon's view of the lease.
+// Tracker is one daemon's view of the lease. It is not safe for concurrent use.
 type Tracker struct {
 	self        string
 	address     string
@@ -71,142 +74,143 @@
 
 	record   Record
 	revision int64
-	// revisionSeenAt is when this daemon first saw the revision.
+	// revisionSeenAt is when this daemon first read the current revision.
 	revisionSeenAt time.Time
 	recordKnown    bool
-	// fence and until are set while this daemon holds the lease.
+	// fence and validUntil are set while this daemon holds the lease.
 	fence      int64
 	validUntil time.Time
-	// pendingWrite is the last write that was begun. Its answer may be lost.
+	// pendingWrite is the last write that was started. Its response may be lost.
 	pendingWrite Record
 	pendingSince time.Time
-	// lastWriteNumber is the highest number that this daemon has given to a write, so
-	// that each write can be told from its earlier ones.
+	// lastWriteNumber is the highest number that this daemon has given to a write. It
+	// makes each write distinguishable from the daemon's earlier ones.
 	lastWriteNumber int64
 }
 
-// holdRatio is the part of the lease's duration that the holder uses. The rest
-// keeps a slow holder from acting beside its successor.
+// holdRatio is the fraction of the lease's duration during which the holder may act. The
+// remainder prevents a slow holder from acting at the same time as its successor.
 const holdRatio = 0.8
 
-// NewTracker returns the view of a daemon's process. A challenger takes a lease
-// that has not been renewed for the duration.
+// NewTracker returns the view of one process of a daemon. Another daemon may claim a
+// lease that has not been renewed for the duration.
 func NewTracker(self string, incarnation uint64, duration time.Duration) *Tracker {
 	return &Tracker{self: self, incarnation: incarnation, duration: duration}
 }
 
-// SetAddress tells the keeper where its daemon listens for peers.
-func (k *Tracker) SetAddress(address string) { k.address = address }
+// SetAddress sets the address of the daemon's peer listener.
+func (t *Tracker) SetAddress(address string) { t.address = address }
 
-// Observe takes over what was read from the store. Revision zero means that
-// there is no record yet.
-func (k *Tracker) Observe(revision int64, record Record, now time.Time) {
-	if k.recordKnown && revision < k.revision {
+// Observe processes a record read from the store. Revision zero means that there is no
+// record yet.
+func (t *Tracker) Observe(revision int64, record Record, now time.Time) {
+	if t.recordKnown && revision < t.revision {
 		return
 	}
-	if !k.recordKnown || revision != k.revision {
-		k.revisionSeenAt = now
+	if !t.recordKnown || revision != t.revision {
+		t.revisionSeenAt = now
 	}
-	k.recordKnown, k.revision, k.record = true, revision, record
+	t.recordKnown, t.revision, t.record = true, revision, record
 	switch {
-	case !k.heldBySelf():
-		k.fence = 0
-	case record.Renewals == k.pendingWrite.Renewals && !k.pendingSince.IsZero():
-		// The answer of this daemon's own write was lost.
-		k.confirmPendingWrite(revision)
+	case !t.heldBySelf():
+		t.fence = 0
+	case record.Renewals == t.pendingWrite.Renewals && !t.pendingSince.IsZero():
+		// The response to this daemon's own write was lost.
+		t.confirmPendingWrite(revision)
 	}
 }
 
-// confirmPendingWrite takes over that the pending write was carried out. The lease counts
-// from before the write was begun.
-func (k *Tracker) confirmPendingWrite(revision int64) {
-	if k.fence == 0 {
-		k.fence = revision
+// confirmPendingWrite records that the store has applied the pending write. The lease is
+// valid from when the write was started.
+func (t *Tracker) confirmPendingWrite(revision int64) {
+	if t.fence == 0 {
+		t.fence = revision
 	}
-	k.validUntil = k.pendingSince.Add(k.holdTerm())
+	t.validUntil = t.pendingSince.Add(t.holdTerm())
 }
 
-// BeginWrite notes a write that is about to be sent. The right to act ends before the
-// lease is given back, whatever becomes of that write.
-func (k *Tracker) BeginWrite(record Record, now time.Time) {
-	k.pendingWrite, k.pendingSince, k.lastWriteNumber = record, now, max(k.lastWriteNumber, record.Renewals)
-	if record.Holder != k.self {
-		k.fence = 0
+// BeginWrite records a write that is about to be sent. If it releases the lease, this
+// daemon's right to act ends now, whether or not the write succeeds.
+func (t *Tracker) BeginWrite(record Record, now time.Time) {
+	t.pendingWrite, t.pendingSince, t.lastWriteNumber = record, now, max(t.lastWriteNumber, record.Renewals)
+	if record.Holder != t.self {
+		t.fence = 0
 	}
 }
 
-// ReplacesHolder reports whether the holder of a record is an earlier process at this daemon's
-// address. It has ended, since only one can listen there: its lease need not lapse. A VM of
-// the same name elsewhere may still run. After the death of all, duties rested until the
-// lease lapsed, 3 s.
-func (k *Tracker) ReplacesHolder(record Record) bool {
-	return k.address != "" && record.Holder == k.self && record.Address == k.address && record.Incarnation != k.incarnation
+// ReplacesHolder reports whether the holder of a record is an earlier process at this
+// daemon's address. That process has ended, since only one process can listen there, so its
+// lease need not expire first. Waiting for the expiry left the deployment without an acting
+// daemon for 3 s after all daemons had died. A VM with the same name at another address may
+// still be running.
+func (t *Tracker) ReplacesHolder(record Record) bool {
+	return t.address != "" && record.Holder == t.self && record.Address == t.address && record.Incarnation != t.incarnation
 }
 
-func (k *Tracker) heldBySelf() bool {
-	return k.record.Holder == k.self && k.record.Incarnation == k.incarnation
+func (t *Tracker) heldBySelf() bool {
+	return t.record.Holder == t.self && t.record.Incarnation == t.incarnation
 }
 
-func (k *Tracker) holdTerm() time.Duration { return time.Duration(holdRatio * float64(k.duration)) }
+func (t *Tracker) holdTerm() time.Duration { return time.Duration(holdRatio * float64(t.duration)) }
 
-// Holds reports whether this daemon may act, and with which fencing number.
-func (k *Tracker) Holds(now time.Time) (fence int64, ok bool) {
-	if k.fence == 0 || !now.Before(k.validUntil) {
+// Holds reports whether this daemon may act, and returns its fencing number.
+func (t *Tracker) Holds(now time.Time) (fence int64, ok bool) {
+	if t.fence == 0 || !now.Before(t.validUntil) {
 		return 0, false
 	}
-	return k.fence, true
+	return t.fence, true
 }
 
-// Claim returns the record with which this daemon may try to acquire the lease,
-// to be written on the present revision. It returns false while another holder
-// may still act.
-func (k *Tracker) Claim(now time.Time) (Record, bool) {
-	if !k.recordKnown {
+// Claim returns the record with which this daemon may try to acquire the lease. It must
+// be written on condition of the current revision. Claim returns false while another
+// holder may still act.
+func (t *Tracker) Claim(now time.Time) (Record, bool) {
+	if !t.recordKnown {
 		return Record{}, false
 	}
-	free := k.revision == 0 || k.record.Holder == "" || k.heldBySelf() || k.ReplacesHolder(k.record)
-	if !free && now.Sub(k.revisionSeenAt) < k.duration {
+	free := t.revision == 0 || t.record.Holder == "" || t.heldBySelf() || t.ReplacesHolder(t.record)
+	if !free && now.Sub(t.revisionSeenAt) < t.duration {
 		return Record{}, false
 	}
-	return Record{Holder: k.self, Address: k.address, Incarnation: k.incarnation, Renewals: k.nextWriteNumber(), UsageReports: k.record.UsageReports, Snapshot: k.record.Snapshot}, true
+	return Record{Holder: t.self, Address: t.address, Incarnation: t.incarnation, Renewals: t.nextWriteNumber(), UsageReports: t.record.UsageReports, Snapshot: t.record.Snapshot}, true
 }
 
 // Renewal returns the record that renews the lease.
-func (k *Tracker) Renewal() Record {
-	next := k.record
-	next.Renewals = k.nextWriteNumber()
+func (t *Tracker) Renewal() Record {
+	next := t.record
+	next.Renewals = t.nextWriteNumber()
 	return next
 }
 
-func (k *Tracker) nextWriteNumber() int64 { return max(k.record.Renewals, k.lastWriteNumber) + 1 }
+func (t *Tracker) nextWriteNumber() int64 { return max(t.record.Renewals, t.lastWriteNumber) + 1 }
 
-// Release returns the record that gives the lease back.
-func (k *Tracker) Release() Record {
-	next := k.record
+// Release returns the record that releases the lease.
+func (t *Tracker) Release() Record {
+	next := t.record
 	next.Holder, next.Address, next.Incarnation = "", "", 0
-	next.Renewals = k.nextWriteNumber()
+	next.Renewals = t.nextWriteNumber()
 	return next
 }
 
-// WriteSucceeded takes over that the write that was begun has succeeded.
-func (k *Tracker) WriteSucceeded(revision int64, now time.Time) {
-	k.recordKnown, k.revision, k.record, k.revisionSeenAt = true, revision, k.pendingWrite, now
-	if !k.heldBySelf() {
-		k.fence = 0
+// WriteSucceeded records that the store has accepted the pending write.
+func (t *Tracker) WriteSucceeded(revision int64, now time.Time) {
+	t.recordKnown, t.revision, t.record, t.revisionSeenAt = true, revision, t.pendingWrite, now
+	if !t.heldBySelf() {
+		t.fence = 0
 		return
 	}
-	k.confirmPendingWrite(revision)
+	t.confirmPendingWrite(revision)
 }
 
-// Superseded takes over that a higher fencing number was seen: the lease has gone
-// on. The record has to be read again.
-func (k *Tracker) Superseded() { k.fence, k.recordKnown = 0, false }
+// Superseded records that a higher fencing number was seen, so another daemon has
+// acquired the lease. The record must be read again.
+func (t *Tracker) Superseded() { t.fence, t.recordKnown = 0, false }
 
 // Revision returns the revision that the next write is conditional on.
-func (k *Tracker) Revision() int64 { return k.revision }
+func (t *Tracker) Revision() int64 { return t.revision }
 
-// UsageReports returns the usage reports that were decided on.
-func (k *Tracker) UsageReports() map[int64]usage.Counts { return k.record.UsageReports }
+// UsageReports returns the usage reports that have been decided on.
+func (t *Tracker) UsageReports() map[int64]usage.Counts { return t.record.UsageReports }
 
-// ValidUntil returns the end of this daemon's right to act, as it stands.
-func (k *Tracker) ValidUntil() time.Time { return k.validUntil }
+// ValidUntil returns when this daemon's right to act ends unless the lease is renewed.
+func (t *Tracker) ValidUntil() time.Time { return t.validUntil }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -16,17 +16,17 @@
 
 func TestAcquireRenewLapse(t *testing.T) {
 	c := qt.New(t)
-	k := NewTracker("a", 1, duration)
-	k.Observe(0, Record{}, start)
-	claim, ok := k.Claim(start)
+	tr := NewTracker("a", 1, duration)
+	tr.Observe(0, Record{}, start)
+	claim, ok := tr.Claim(start)
 	c.Assert(ok, qt.IsTrue)
-	k.BeginWrite(claim, start)
-	k.WriteSucceeded(5, start)
-	fence, holds := k.Holds(start)
+	tr.BeginWrite(claim, start)
+	tr.WriteSucceeded(5, start)
+	fence, holds := tr.Holds(start)
 	c.Check(holds, qt.IsTrue)
 	c.Check(fence, qt.Equals, int64(5))
-	// Without renewal the right ends before a challenger may claim.
-	_, holds = k.Holds(start.Add(duration * 8 / 10))
+	// Without renewal, the right to act ends before another daemon may claim the lease.
+	_, holds = tr.Holds(start.Add(duration * 8 / 10))
 	c.Check(holds, qt.IsFalse)
 	other := NewTracker("b", 1, duration)
 	other.Observe(5, claim, start)
@@ -38,59 +38,60 @@
 
 func TestLostAnswerOfAcquisitionCountsFromBeforeTheWrite(t *testing.T) {
 	c := qt.New(t)
-	k := NewTracker("a", 1, duration)
-	k.Observe(0, Record{}, start)
-	claim, _ := k.Claim(start)
-	k.BeginWrite(claim, start)
+	tr := NewTracker("a", 1, duration)
+	tr.Observe(0, Record{}, start)
+	claim, _ := tr.Claim(start)
+	tr.BeginWrite(claim, start)
 	late := start.Add(2 * time.Second)
-	k.Observe(5, claim, late)
-	fence, holds := k.Holds(late)
+	tr.Observe(5, claim, late)
+	fence, holds := tr.Holds(late)
 	c.Check(holds, qt.IsTrue)
 	c.Check(fence, qt.Equals, int64(5))
-	_, holds = k.Holds(start.Add(duration))
+	_, holds = tr.Holds(start.Add(duration))
 	c.Check(holds, qt.IsFalse)
 }
 
 func TestEarlierProcessIsAnotherHolder(t *testing.T) {
 	c := qt.New(t)
-	k := NewTracker("a", 2, duration)
-	k.Observe(5, Record{Holder: "a", Incarnation: 1}, start)
-	_, holds := k.Holds(start)
+	tr := NewTracker("a", 2, duration)
+	tr.Observe(5, Record{Holder: "a", Incarnation: 1}, start)
+	_, holds := tr.Holds(start)
 	c.Check(holds, qt.IsFalse)
-	_, ok := k.Claim(start)
+	_, ok := tr.Claim(start)
 	c.Check(ok, qt.IsFalse)
 }
 
-// TestLeaseOfEarlierProcessAtSameAddressIsFree: its lease is taken over at once; that of a VM of
-// the same name at another address is not.
+// TestLeaseOfEarlierProcessAtSameAddressIsFree checks that the lease of an earlier
+// process at the same address can be claimed at once, and that of a VM with the same name
+// at another address cannot.
 func TestLeaseOfEarlierProcessAtSameAddressIsFree(t *testing.T) {
 	c := qt.New(t)
-	for address, free := range map[string]bool{"10.1.0.1:82": true, "10.1.0.9:82": false, "": false} {
-		k := NewTracker("a", 2, duration)
-		k.SetAddress("10.1.0.1:82")
-		k.Observe(5, Record{Holder: "a", Address: address, Incarnation: 1}, start)
-		claim, ok := k.Claim(start)
-		c.Check(ok, qt.Equals, free, qt.Commentf("%q", address))
+	for address, claimable := range map[string]bool{"10.1.0.1:82": true, "10.1.0.9:82": false, "": false} {
+		tr := NewTracker("a", 2, duration)
+		tr.SetAddress("10.1.0.1:82")
+		tr.Observe(5, Record{Holder: "a", Address: address, Incarnation: 1}, start)
+		claim, ok := tr.Claim(start)
+		c.Check(ok, qt.Equals, claimable, qt.Commentf("%q", address))
 		if ok {
 			c.Check(claim.Address, qt.Equals, "10.1.0.1:82")
-			k.BeginWrite(claim, start)
-			k.WriteSucceeded(6, start)
-			fence, holds := k.Holds(start)
+			tr.BeginWrite(claim, start)
+			tr.WriteSucceeded(6, start)
+			fence, holds := tr.Holds(start)
 			c.Check(holds, qt.IsTrue)
-			c.Check(fence, qt.Equals, int64(6), qt.Commentf("a higher number than the earlier process had"))
+			c.Check(fence, qt.Equals, int64(6), qt.Commentf("the fencing number is higher than the earlier process's"))
 		}
 	}
 }
 
 func TestReleasedLeaseCanBeClaimed(t *testing.T) {
 	c := qt.New(t)
-	k := NewTracker("b", 1, duration)
-	k.Observe(7, Record{}, start)
-	_, ok := k.Claim(start)
+	tr := NewTracker("b", 1, duration)
+	tr.Observe(7, Record{}, start)
+	_, ok := tr.Claim(start)
 	c.Check(ok, qt.IsTrue)
 }
 
-// fakeStore is the record as the store keeps it, with writes that happen late.
+// fakeStore simulates the stored record, with writes that are applied late.
 type fakeStore struct {
 	revision int64
 	record   Record
@@ -111,69 +112,69 @@
 	return true
 }
 
-// TestOneHolderActs: with lost answers, late writes, lost reads and daemons that
-// stand still, no two daemons hold the lease at one moment, no fencing number
-// is used by two, and a later holder has a higher one.
+// TestOneHolderActs checks, with lost responses, late writes, lost reads and suspended
+// daemons, that no two daemons hold the lease at the same time, that no two use the same
+// fencing number, and that a later holder has a higher one.
 func TestOneHolderActs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &fakeStore{}
-		names := []string{"a", "b", "c"}
-		keepers := map[string]*Tracker{}
-		for _, name := range names {
-			keepers[name] = NewTracker(name, 1, duration)
+		daemons := []string{"a", "b", "c"}
+		trackers := map[string]*Tracker{}
+		for _, name := range daemons {
+			trackers[name] = NewTracker(name, 1, duration)
 		}
 		owner := map[int64]string{}
 		highest := int64(0)
 		now := start
 		for range rapid.IntRange(50, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "pause")) * time.Millisecond)
-			name := rapid.SampledFrom(names).Draw(t, "daemon")
-			step(t, s, keepers[name], now)
+			name := rapid.SampledFrom(daemons).Draw(t, "daemon")
+			step(t, s, trackers[name], now)
 			holders := 0
-			for _, n := range names {
-				fence, holds := keepers[n].Holds(now)
+			for _, n := range daemons {
+				fence, holds := trackers[n].Holds(now)
 				if !holds {
 					continue
 				}
 				holders++
 				if before, known := owner[fence]; known && before != n {
-					t.Fatalf("fencing number %d of %s and %s", fence, before, n)
+					t.Fatalf("fencing number %d used by both %s and %s", fence, before, n)
 				}
 				owner[fence] = n
 				if fence < highest {
-					t.Fatalf("fencing number %d after %d", fence, highest)
+					t.Fatalf("fencing number %d used after %d", fence, highest)
 				}
 				highest = fence
 			}
 			if holders > 1 {
-				t.Fatalf("%d holders at %s", holders, now)
+				t.Fatalf("%d daemons hold the lease at %s", holders, now)
 			}
 		}
 	})
 }
 
-// step lets a daemon do one thing, with whatever trouble is drawn.
-func step(t *rapid.T, s *fakeStore, k *Tracker, now time.Time) {
+// step performs one operation of a daemon, with randomly drawn failures.
+func step(t *rapid.T, s *fakeStore, tr *Tracker, now time.Time) {
 	if len(s.delayed) > 0 && rapid.Bool().Draw(t, "late write happens") {
 		s.apply(s.delayed[0])
 		s.delayed = s.delayed[1:]
 	}
 	if rapid.Bool().Draw(t, "read") {
-		k.Observe(s.revision, s.record, now)
+		tr.Observe(s.revision, s.record, now)
 	}
-	_, holds := k.Holds(now)
-	record, ok := k.Renewal(), holds
+	_, holds := tr.Holds(now)
+	record, ok := tr.Renewal(), holds
 	if !holds {
-		record, ok = k.Claim(now)
+		record, ok = tr.Claim(now)
 	}
 	if !ok {
 		return
 	}
 	if holds && rapid.IntRange(0, 9).Draw(t, "release") == 0 {
-		record = k.Release()
+		record = tr.Release()
 	}
-	k.BeginWrite(record, now)
-	w := write{k.Revision(), record}
+	tr.BeginWrite(record, now)
+	w := write{tr.Revision(), record}
 	switch rapid.IntRange(0, 3).Draw(t, "end") {
 	case 0:
 		s.delayed = append(s.delayed, w)
@@ -181,7 +182,7 @@
 		s.apply(w)
 	default:
 		if s.apply(w) {
-			k.WriteSucceeded(s.revision, now)
+			tr.WriteSucceeded(s.revision, now)
 		}
 	}
 }
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -6,43 +6,44 @@
 	"time"
 )
 
-// The model explores every order of what two daemons and the store can do with the
-// lease, up to a number of steps: reads, claims, renewals and releases; writes that
-// are carried out and answered, carried out without an answer, lost, or carried out
-// later; and time that passes. All clocks run alike and start anywhere.
+// The model explores all sequences, up to a number of steps, of what two daemons and the
+// store can do with the lease: reads, claims, renewals and releases; writes that are
+// applied and answered, applied without a response, lost, or applied later; and the
+// passing of time. All clocks run at the same rate from arbitrary starting points.
 
 const (
 	modelDaemons = 2
 	modelSteps   = 8
-	// modelTick is the step of time: the lease lasts three, its holder acts for 2.4.
+	// modelTick is the time step. The lease lasts three ticks, and its holder may act for
+	// 2.4.
 	modelTick     = time.Second
 	modelDuration = 3 * modelTick
 )
 
-// modelWrite is a write on its way.
+// modelWrite is a write that has been sent.
 type modelWrite struct {
 	from     int
 	revision int64
 	record   Record
 }
 
-// modelState is one state of the world.
+// modelState is one state of the daemons and the store.
 type modelState struct {
 	now      time.Time
 	trackers [modelDaemons]Tracker
 	revision int64
 	record   Record
-	// delayed is a write that the store has not carried out yet, and may.
+	// delayed is a write that the store has not applied yet but may still apply.
 	delayed *modelWrite
-	// highest is the highest fencing number that has been held.
+	// highest is the highest fencing number held so far.
 	highest int64
 }
 
-// model explores states once each.
+// model visits each state once.
 type model struct {
 	t    *testing.T
 	seen map[string]bool
-	// violation is what is broken first.
+	// violation describes the first invariant violation.
 	violation string
 }
 
@@ -69,7 +70,7 @@
 	}
 }
 
-// exploreActions lets one daemon do all that it can.
+// exploreActions explores everything that one daemon can do.
 func (m *model) exploreActions(s modelState, i, steps int) {
 	read := s
 	read.trackers[i].Observe(s.revision, s.record, s.now)
@@ -83,7 +84,7 @@
 	}
 }
 
-// exploreWrite lets a write end in each way.
+// exploreWrite explores each outcome of a write.
 func (m *model) exploreWrite(s modelState, i int, record Record, steps int) {
 	s.trackers[i].BeginWrite(record, s.now)
 	w := modelWrite{from: i, revision: s.trackers[i].Revision(), record: record}
@@ -94,9 +95,9 @@
 		answered.trackers[i].Observe(answered.revision, answered.record, s.now)
 	}
 	m.explore(answered, steps-1)
-	silent := s
-	silent.apply(w)
-	m.explore(silent, steps-1)
+	unanswered := s
+	unanswered.apply(w)
+	m.explore(unanswered, steps-1)
 	m.explore(s, steps-1)
 	if s.delayed == nil {
 		late := s
@@ -115,8 +116,8 @@
 	return true
 }
 
-// checkInvariants notes what may not be: two that may act, or one whose fencing number is
-// below one that was held before.
+// checkInvariants records a violation if two daemons may act at once, or if a daemon's
+// fencing number is below one that was held before.
 func (m *model) checkInvariants(s *modelState) bool {
 	holders := 0
 	for i := range s.trackers {
@@ -126,7 +127,7 @@
 		}
 		holders++
 		if fence < s.highest {
-			m.violation = fmt.Sprintf("daemon %d acts with %d after %d", i, fence, s.highest)
+			m.violation = fmt.Sprintf("daemon %d acts with fencing number %d after %d", i, fence, s.highest)
 		}
 		s.highest = max(s.highest, fence)
 	}
@@ -136,8 +137,8 @@
 	return m.violation != ""
 }
 
-// key tells states apart. Times count from now, so that states that differ in the
-// hour alone are the same.
+// key identifies a state. Times are relative to now, so states that differ only in
+// absolute time have the same key.
 func (s *modelState) key() string {
 	ago := func(at time.Time) time.Duration {
 		if at.IsZero() {
@@ -150,14 +151,15 @@
 		key += fmt.Sprint("|", s.delayed.from, s.delayed.revision, s.delayed.record.Holder, s.delayed.record.Renewals)
 	}
 	for i := range s.trackers {
-		k := &s.trackers[i]
-		key += fmt.Sprint("|", k.recordKnown, k.revision, k.record.Holder, k.record.Renewals, k.fence, max(0, k.validUntil.Sub(s.now)),
-			ago(k.revisionSeenAt), ago(k.pendingSince), k.pendingWrite.Holder, k.pendingWrite.Renewals, k.lastWriteNumber)
+		tr := &s.trackers[i]
+		key += fmt.Sprint("|", tr.recordKnown, tr.revision, tr.record.Holder, tr.record.Renewals, tr.fence, max(0, tr.validUntil.Sub(s.now)),
+			ago(tr.revisionSeenAt), ago(tr.pendingSince), tr.pendingWrite.Holder, tr.pendingWrite.Renewals, tr.lastWriteNumber)
 	}
 	return key
 }
 
-// TestModelOfTheLease explores the lease exhaustively.
+// TestModelOfTheLease explores the lease's state space exhaustively up to modelSteps
+// steps.
 func TestModelOfTheLease(t *testing.T) {
 	m := &model{t: t, seen: map[string]bool{}}
 	s := modelState{now: time.Unix(1000, 0)}
