--- a/internal/generation/follower.go
+++ b/internal/generation/follower.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	// watchWait is how long one watch call waits.
+	// watchWait is the maximum duration of one watch call.
 	watchWait = 30 * time.Second
-	// retryDelay follows a failed call.
+	// retryDelay is the pause after a failed call.
 	retryDelay = time.Second
 )
 
-// Subscriber is a component that takes over each new generation. ApplyConfig
-// must not fail: what could be wrong was found when the files were applied.
+// Subscriber is a component that is notified of each new generation. ApplyConfig cannot
+// fail, because the files were validated when they were applied.
 type Subscriber interface {
 	ApplyConfig(index *config.Index)
 }
 
-// Bundle is a manifest with the contents of its parts, as peers exchange it.
+// Bundle is a manifest with the contents of its parts, as exchanged by peers.
 type Bundle struct {
-	// Manifest is the JSON of the manifest object.
+	// Manifest is the JSON encoding of the manifest object.
 	Manifest []byte
 	Contents map[string][]byte
 }
 
-// Fetcher gets the deployment of another daemon, leaving out the parts whose
-// digests are known.
+// Fetcher fetches the deployment of another daemon, without the parts whose digests are
+// in known.
 type Fetcher func(ctx context.Context, known []string) (Bundle, error)
 
-// Follower keeps the generation in force at this daemon.
+// Follower tracks the generation in force at this daemon. It is safe for concurrent use.
 type Follower struct {
 	logger          *slog.Logger
 	store           store.Values
@@ -71,7 +71,7 @@
 	}
 }
 
-// Generation returns the generation in force; zero means none.
+// Generation returns the generation in force, or zero if there is none.
 func (f *Follower) Generation() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,7 +85,7 @@
 	return f.index
 }
 
-// Changed returns a channel that is closed when a generation takes effect.
+// Changed returns a channel that is closed when the next generation takes effect.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -115,14 +115,14 @@
 	if ctx.Err() != nil {
 		return
 	}
-	f.logger.Warn("cannot follow the deployment at the platform", "error", err)
+	f.logger.Warn("cannot follow the deployment in the store", "error", err)
 	select {
 	case <-time.After(retryDelay):
 	case <-ctx.Done():
 	}
 }
 
-// applyFromStore takes over a manifest read from the store.
+// applyFromStore applies a manifest read from the store.
 func (f *Follower) applyFromStore(ctx context.Context, raw []byte) error {
 	manifest, err := decodeManifest(raw)
 	if err != nil {
@@ -138,8 +138,7 @@
 	return f.apply(manifest, raw, contents)
 }
 
-// ApplyFromPeer takes over the deployment of a peer that reports a higher
-// generation.
+// ApplyFromPeer applies the deployment of a peer that reports a higher generation.
 func (f *Follower) ApplyFromPeer(ctx context.Context, generation int64, fetch Fetcher) error {
 	if generation <= f.Generation() {
 		return nil
@@ -159,7 +158,7 @@
 	}
 	for digest, content := range bundle.Contents {
 		if digestOf(content) != digest {
-			return eris.Errorf("peer sent a part that does not have the digest %s", digest)
+			return eris.Errorf("peer sent a part that does not match digest %s", digest)
 		}
 		contents[digest] = content
 	}
@@ -176,8 +175,8 @@
 	return contents
 }
 
-// apply puts a generation in force. A generation that is not higher than the
-// present one is left alone: another way may have brought a newer one first.
+// apply puts a generation in force. It does nothing if the generation is not higher than
+// the current one, since a newer one may have arrived from another source first.
 func (f *Follower) apply(manifest *Manifest, raw []byte, contents map[string][]byte) error {
 	d, err := assemble(manifest, contents)
 	if err != nil {
@@ -204,8 +203,7 @@
 	return nil
 }
 
-// Bundle returns the deployment in force for a peer, without the parts that
-// the peer knows.
+// Bundle returns the deployment in force for a peer, without the parts that the peer has.
 func (f *Follower) Bundle(known []string) (Bundle, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/generation/generation_test.go
+++ b/internal/generation/generation_test.go
@@ -21,7 +21,8 @@
 	"github.com/plankridge/plankridge/platform/fake"
 )
 
-// withStore runs a test against the Object API stand-in in synctest time.
+// withStore runs a test in synctest time against an in-memory implementation of the
+// Object API.
 func withStore(t *testing.T, test func(c *qt.C, objects *fake.Store, client store.Values)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -66,7 +67,8 @@
 	})
 }
 
-// TestLostAnswerOfApplyIsSettled loses the answer of each write in turn.
+// TestLostAnswerOfApplyIsSettled drops the response to each write in turn and checks that
+// Apply still returns the right result.
 func TestLostAnswerOfApplyIsSettled(t *testing.T) {
 	for lost := range 8 {
 		withStore(t, func(c *qt.C, objects *fake.Store, client store.Values) {
--- a/internal/generation/manifest.go
+++ b/internal/generation/manifest.go
@@ -1,7 +1,7 @@
-// Package generation makes an applied deployment the one in force. A manifest
-// object names the generation and the digest of each part; replacing it by a
-// conditional update is the moment of acceptance. Daemons follow the manifest
-// and only ever move to a higher generation.
+// Package generation distributes the applied deployment to the daemons. A manifest object
+// holds the generation number and the digest of each part. Replacing the manifest with a
+// conditional update makes the new generation effective. Daemons follow the manifest and
+// only ever move to a higher generation.
 package generation
 
 import (
@@ -20,10 +20,10 @@
 	"github.com/plankridge/plankridge/internal/store"
 )
 
-// objectKind is the kind of object that generations are kept in.
+// objectKind is the kind of the store objects that hold generations.
 const objectKind = "plankridge-generations"
 
-// Values returns the part of the store that generations are kept in.
+// Values returns the part of the store that holds generations.
 func Values(objects store.Store) store.Values { return store.NewValues(objects, objectKind) }
 
 // Keys in the store.
@@ -32,22 +32,23 @@
 	partPrefix  = "parts-"
 )
 
-// Manifest names the parts of one generation.
+// Manifest lists the parts of one generation.
 type Manifest struct {
 	Generation int64 `json:"generation"`
-	// ApplyID tells an apply whose answer was lost whether it took effect.
+	// ApplyID identifies the apply, so that one whose response was lost can find out
+	// whether it took effect.
 	ApplyID   string    `json:"apply_id"`
 	AppliedAt time.Time `json:"applied_at"`
 	Parts     []PartRef `json:"parts"`
 }
 
-// PartRef names one part of a deployment and its content.
+// PartRef is the name of one part of a deployment and the digest of its content.
 type PartRef struct {
 	Name   string `json:"name"`
 	Digest string `json:"digest"`
 }
 
-// The parts of a deployment. Each service is a part of its own, with its
+// Names of the parts of a deployment. Each service is a separate part, together with its
 // routes.
 const (
 	partZones      = "zones"
@@ -62,7 +63,7 @@
 	Routes  []config.Route `json:"routes"`
 }
 
-// splitParts cuts a deployment into parts and returns their contents by digest.
+// splitParts splits a deployment into parts and returns their contents by digest.
 func splitParts(d *config.Deployment) ([]PartRef, map[string][]byte, error) {
 	var refs []PartRef
 	contents := map[string][]byte{}
@@ -102,7 +103,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// assemble puts a deployment together from its parts.
+// assemble builds a deployment from its parts.
 func assemble(manifest *Manifest, contents map[string][]byte) (*config.Deployment, error) {
 	d := &config.Deployment{}
 	for _, ref := range manifest.Parts {
--- a/internal/generation/publisher.go
+++ b/internal/generation/publisher.go
@@ -12,23 +12,23 @@
 	"github.com/plankridge/plankridge/internal/store"
 )
 
-// Publisher applies deployments to the Object API.
+// Publisher applies deployments to the store.
 type Publisher struct {
 	store store.Values
 }
 
-// NewPublisher returns a publisher over the store.
+// NewPublisher returns a publisher that writes to the store.
 func NewPublisher(store store.Values) *Publisher {
 	return &Publisher{store: store}
 }
 
-// confirmDelay is the pause between two tries to learn whether a write whose
-// answer was lost has taken effect.
+// confirmDelay is the pause between two attempts to find out whether a write whose
+// response was lost has taken effect.
 const confirmDelay = 200 * time.Millisecond
 
-// Apply makes the deployment the next generation if the current one is still
-// basedOn. It returns a *ConflictError otherwise. Repeating an apply with the
-// same ID is harmless and returns the manifest that it made.
+// Apply makes the deployment the next generation if basedOn is the current one. Otherwise
+// it returns a *ConflictError. Apply is idempotent: repeating it with the same ID returns
+// the manifest that the first call created.
 func (p *Publisher) Apply(ctx context.Context, d *config.Deployment, basedOn int64, applyID string) (*Manifest, error) {
 	refs, contents, err := splitParts(d)
 	if err != nil {
@@ -42,13 +42,13 @@
 		select {
 		case <-time.After(confirmDelay):
 		case <-ctx.Done():
-			return nil, eris.Wrap(err, "apply is not settled")
+			return nil, eris.Wrap(err, "outcome of apply is unknown")
 		}
 	}
 }
 
-// tryApply makes one attempt. retry is true when its effect is not known, so that
-// the manifest has to be read again.
+// tryApply makes one attempt. The boolean result is true if it is unknown whether the
+// attempt took effect, so that the manifest must be read again.
 func (p *Publisher) tryApply(ctx context.Context, refs []PartRef, contents map[string][]byte, basedOn int64, applyID string) (*Manifest, bool, error) {
 	current, version, err := readManifest(ctx, p.store)
 	if err != nil && !errors.Is(err, ErrNoDeployment) {
@@ -72,12 +72,12 @@
 	if err == nil {
 		return next, false, nil
 	}
-	lost := errors.Is(err, store.ErrUnknown) || errors.Is(err, store.ErrConflict)
-	return nil, lost, err
+	retry := errors.Is(err, store.ErrUnknown) || errors.Is(err, store.ErrConflict)
+	return nil, retry, err
 }
 
-// putParts writes the parts that the current manifest does not name. A part
-// is named by its content, so that one which is already there is the same.
+// putParts writes the parts that the current manifest does not list. The key of a part is
+// its digest, so an existing object has the same content.
 func (p *Publisher) putParts(ctx context.Context, current *Manifest, refs []PartRef, contents map[string][]byte) error {
 	present := map[string]bool{}
 	for _, ref := range current.Parts {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// readManifest returns the manifest and its version. Without one it returns an
+// readManifest returns the manifest and its version. If there is none, it returns an
 // empty manifest, version zero and ErrNoDeployment.
 func readManifest(ctx context.Context, values store.Values) (*Manifest, int64, error) {
 	object, err := values.Get(ctx, manifestKey)
@@ -118,7 +118,7 @@
 	return manifest, nil
 }
 
-// Read returns the deployment that the store holds.
+// Read returns the deployment in the store.
 func (p *Publisher) Read(ctx context.Context) (*Manifest, *config.Deployment, error) {
 	manifest, _, err := readManifest(ctx, p.store)
 	if err != nil {
@@ -132,7 +132,7 @@
 	return manifest, d, err
 }
 
-// fetchParts reads the parts that are not in contents yet.
+// fetchParts reads the parts that are missing from contents.
 func fetchParts(ctx context.Context, values store.Values, manifest *Manifest, contents map[string][]byte) error {
 	for _, ref := range manifest.Parts {
 		if _, known := contents[ref.Digest]; known {
