--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -1,6 +1,7 @@
-// Package steady is a clock that goes on while the VM is suspended. The monotonic clock behind
-// time.Now stands still then, so that by it a lease that has lapsed meanwhile still runs. It never
-// goes back and does not follow steps of the time of day.
+// Package steady provides a monotonic clock that continues while the VM is suspended. The
+// monotonic clock behind time.Now stops during a suspension, so a lease that has expired
+// in the meantime would still seem valid. The clock of this package never goes back and
+// does not follow changes of the wall clock.
 package steady
 
 import (
@@ -10,18 +11,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// minSuspension is the shortest suspension that counts: below, it is the time between two readings of
-// the clocks.
+// minSuspension is the shortest suspension that is counted. Smaller differences can come
+// from the time between the two clock readings.
 const minSuspension = 10 * time.Millisecond
 
 var (
-	// initialOffset is how far the clocks were apart when the process started.
+	// initialOffset is the clock offset when the process started.
 	initialOffset = clockOffset()
-	// maxOffset is the longest that they have been seen apart since, in nanoseconds.
+	// maxOffset is the largest increase of the clock offset since then, in nanoseconds.
 	maxOffset atomic.Int64
 )
 
-// Now returns the time by this clock. It compares with times of this clock alone.
+// Now returns the current time. It is only comparable with other times from this clock.
 func Now() time.Time { return time.Now().Add(Suspended()) }
 
 // Suspended returns how long the VM has been suspended since the process started.
@@ -29,8 +30,9 @@
 	return raiseTo(&maxOffset, clockOffset()-initialOffset)
 }
 
-// raiseTo takes over a reading and returns the longest one. The clock that stands still is read
-// last, so that a pause between the readings never looks like a suspension.
+// raiseTo stores a reading if it exceeds the longest one so far by minSuspension, and
+// returns the longest one. The clock that stops during suspensions must be read last, so
+// that a pause between the two readings never looks like a suspension.
 func raiseTo(longest *atomic.Int64, reading time.Duration) time.Duration {
 	for {
 		known := longest.Load()
@@ -43,7 +45,8 @@
 	}
 }
 
-// clockOffset returns how far the clock that counts suspensions is ahead of the one that does not.
+// clockOffset returns how far CLOCK_BOOTTIME, which includes suspensions, is ahead of the
+// monotonic clock, which does not.
 func clockOffset() time.Duration {
 	counts := read(unix.CLOCK_BOOTTIME)
 	return counts - monotonic()
@@ -52,7 +55,8 @@
 // monotonic reads the clock behind time.Now.
 var monotonic = func() time.Duration { return read(unix.CLOCK_MONOTONIC) }
 
-// read reads a clock. One that cannot be read shows nothing, for good.
+// read returns the time of a clock, or zero if the clock cannot be read. That does not
+// change while the process runs, so no suspension is then reported.
 func read(clock int32) time.Duration {
 	var at unix.Timespec
 	if err := unix.ClockGettime(clock, &at); err != nil {
--- a/internal/steady/steady_test.go
+++ b/internal/steady/steady_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestSuspensionsAddUp: readings grow with each suspension; noise between two readings and a
-// reading that was held up change nothing.
+// TestSuspensionsAddUp checks that the result grows with each suspension, and that small
+// differences between two readings and a reading that was delayed change nothing.
 func TestSuspensionsAddUp(t *testing.T) {
 	c := qt.New(t)
 	var longest atomic.Int64
@@ -21,7 +21,8 @@
 	}
 }
 
-// TestRunningMachineIsNotSuspended: the machine of the test runs.
+// TestRunningMachineIsNotSuspended checks that no suspension is reported on the machine
+// that runs the test.
 func TestRunningMachineIsNotSuspended(t *testing.T) {
 	qt.New(t).Check(Suspended(), qt.Equals, time.Duration(0))
 }
