--- a/internal/vmlist/client.go
+++ b/internal/vmlist/client.go
@@ -10,15 +10,15 @@
 	"github.com/plankridge/plankridge/internal/httpjson"
 )
 
-// Client speaks to the VM list over HTTP/JSON. It implements VMLister.
+// Client accesses the VM list over HTTP and JSON. It implements VMLister.
 type Client struct{ api httpjson.Client }
 
-// NewClient returns a client of the endpoint.
+// NewClient returns a client for the endpoint.
 func NewClient(endpoint, token string, client *http.Client) *Client {
 	return &Client{api: httpjson.Client{Base: endpoint, Token: token, HTTP: client}}
 }
 
-// ErrUnavailable means that the list could not be asked.
+// ErrUnavailable means that the VM list could not be read.
 var ErrUnavailable = errors.New("VM list unavailable")
 
 // ListVMs implements VMLister.
--- a/internal/vmlist/vmlist.go
+++ b/internal/vmlist/vmlist.go
@@ -1,5 +1,5 @@
-// Package vmlist is the narrow interface at the platform's list of VMs, by which
-// daemons with the product's own caller API find backend servers and each other.
+// Package vmlist defines the interface to the platform's list of VMs. Daemons that serve
+// the product's own caller API use it to discover backend servers and each other.
 package vmlist
 
 import (
@@ -14,17 +14,17 @@
 // VMState is the state of a VM in the VM list.
 type VMState string
 
-// The states of a VM.
+// States of a VM.
 const (
 	VMLive    VMState = "live"
 	VMLeaving VMState = "leaving"
 	VMGone    VMState = "gone"
 )
 
-// Role says what runs on a VM.
+// Role is the kind of program that runs on a VM.
 type Role string
 
-// The roles of VMs.
+// Roles of VMs.
 const (
 	RoleEntry   Role = "entry"
 	RoleBackend Role = "backend"
@@ -37,33 +37,33 @@
 	Role    Role   `json:"role"`
 	Service string `json:"service,omitempty"`
 	Class   string `json:"class"`
-	// Market is the market that the VM was bought in, as the platform names it.
+	// Market is the platform's name of the market that the VM was bought in.
 	Market string  `json:"market,omitempty"`
 	State  VMState `json:"state"`
 	// Address is the IP:port of the backend server, or of the daemon's peer
 	// listener on an entry VM.
 	Address string `json:"address"`
-	// OperatorAddress is the IP:port of a daemon's operator API.
+	// OperatorAddress is the IP:port of the daemon's operator API.
 	OperatorAddress string `json:"operator_address,omitempty"`
 }
 
-// VMChanges are the changes of the VM list after a revision.
+// VMChanges holds the changes of the VM list since a revision.
 type VMChanges struct {
 	Revision int64 `json:"revision"`
-	// Full means that VMs is the whole list and replaces what was known.
+	// Full means that VMs is the whole list and replaces the known one.
 	Full bool `json:"full"`
 	VMs  []VM `json:"vms"`
 }
 
-// VMLister is the VM list.
+// VMLister reads the VM list.
 type VMLister interface {
-	// ListVMs returns what has changed after the revision, waiting at most
-	// that long for a change. Revision zero asks for the whole list.
+	// ListVMs returns the changes since a revision. It waits up to the given duration for
+	// a change. Revision zero requests the whole list.
 	ListVMs(ctx context.Context, after int64, wait time.Duration) (VMChanges, error)
 }
 
-// RendezvousOrder orders VMs by the hash of a key with each: rendezvous hashing, by which all that know the
-// same VMs choose the same ones for a key.
+// RendezvousOrder sorts VMs by rendezvous hashing with the key. Processes that have the
+// same list of VMs get the same order for a key.
 func RendezvousOrder(key string, vms []VM) []VM {
 	weights := make(map[string]uint64, len(vms))
 	for _, vm := range vms {
