--- a/internal/peer/advice.go
+++ b/internal/peer/advice.go
@@ -7,12 +7,12 @@
 	"github.com/plankridge/plankridge/internal/discovery"
 )
 
-// Advice is the load advice of backend servers.
+// Advice stores the load advice of backend servers.
 type Advice interface {
-	// Advice returns what to report to other daemons.
+	// Advice returns the advice to send to other daemons.
 	Advice(now time.Time) []discovery.AdviceRecord
-	// MergeAdvice merges what another daemon reports, and reports whether others should be informed at
-	// once.
+	// MergeAdvice merges advice received from another daemon. It reports whether the
+	// change must be sent on at once.
 	MergeAdvice(records []discovery.AdviceRecord, now time.Time) (changed bool)
 }
 
@@ -27,19 +27,19 @@
 	}
 	raw, err := json.Marshal(records)
 	if err != nil {
-		m.logger.Error("advice of servers cannot be encoded", "error", err)
+		m.logger.Error("cannot encode servers' advice", "error", err)
 	}
 	return raw
 }
 
-// mergeAdvice merges the servers' advice of a peer's heartbeat.
+// mergeAdvice merges the servers' advice from a peer's heartbeat.
 func (m *Mesh) mergeAdvice(peer string, raw []byte) {
 	if m.advice == nil || len(raw) == 0 {
 		return
 	}
 	var records []discovery.AdviceRecord
 	if err := json.Unmarshal(raw, &records); err != nil {
-		m.logger.Warn("advice of servers that a peer reports cannot be read", "peer", peer, "error", err)
+		m.logger.Warn("cannot decode servers' advice from peer", "peer", peer, "error", err)
 		return
 	}
 	if m.advice.MergeAdvice(records, time.Now()) {
--- a/internal/peer/contacts.go
+++ b/internal/peer/contacts.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// sameZoneContacts is the number of daemons of the own availability zone that
-	// a daemon sends heartbeats to.
+	// sameZoneContacts is the number of daemons of its own availability zone that a
+	// daemon sends heartbeats to.
 	sameZoneContacts = 3
-	// otherZoneContacts is that number for each other availability zone.
+	// otherZoneContacts is the number of daemons of each other availability zone that a
+	// daemon sends heartbeats to.
 	otherZoneContacts = 1
 )
 
-// Contacts returns the daemons that self sends heartbeats to: in its own zone
-// the next one on a hash ring, which connects all, and others chosen by hash,
-// which keep the paths short; and a few of each other zone. The number does
-// not grow with the number of daemons.
+// Contacts returns the daemons that self sends heartbeats to. In its own zone these are
+// the next daemon on a hash ring, which keeps the graph connected, and others chosen by
+// hash, which keep the paths short. In addition there are a few from each other zone. The
+// number does not grow with the number of daemons.
 func Contacts(self vmlist.VM, daemons []vmlist.VM) []vmlist.VM {
 	zones := map[string][]vmlist.VM{}
 	for _, daemon := range daemons {
@@ -51,7 +52,7 @@
 	return contacts
 }
 
-// ringSuccessor returns the member that follows self on a hash ring.
+// ringSuccessor returns the member that follows self on the hash ring.
 func ringSuccessor(self vmlist.VM, members []vmlist.VM) vmlist.VM {
 	origin := xxhash.Sum64String(self.ID)
 	return slices.MinFunc(members, func(a, b vmlist.VM) int {
@@ -59,8 +60,8 @@
 	})
 }
 
-// AnswerHolders returns the daemons that keep the answer of a request whose owner
-// has gone, the likeliest first. Every daemon computes the same order.
+// AnswerHolders returns the daemons that may hold the answer of a request whose owner is
+// gone, the most likely one first. All daemons compute the same order.
 func AnswerHolders(requestID string, daemons []vmlist.VM) []vmlist.VM {
 	return vmlist.RendezvousOrder(requestID, daemons)
 }
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -11,8 +11,8 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// encodeSpec encodes what is needed to render an answer. Prompts, bodies and
-// headers stay with the owner.
+// encodeSpec encodes the parts of a specification that are needed to render an answer.
+// Prompts, bodies and headers stay with the owner.
 func encodeSpec(spec request.Spec) ([]byte, error) {
 	if spec.Model != nil {
 		model := *spec.Model
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// FuzzMessages feeds the conversions what another daemon might send, and sends
-// what they understood back.
+// FuzzMessages decodes arbitrary messages from another daemon, and checks that what was
+// decoded survives another round trip.
 func FuzzMessages(f *testing.F) {
 	finish := &request.Finish{Reason: "stop", OutputTokens: 3}
 	for _, event := range []dispatch.Event{{Offset: 1, Token: "a"}, {Finish: finish}, {Moved: true},
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -13,12 +13,12 @@
 	"github.com/plankridge/plankridge/internal/vmlist"
 )
 
-// Run sends heartbeats until the context ends.
+// Run sends heartbeats and fetches newer deployments until the context ends.
 func (m *Mesh) Run(ctx context.Context) {
-	var pulling sync.WaitGroup
-	pulling.Go(func() { m.runDeploymentPulls(ctx) })
-	defer pulling.Wait()
-	pulling.Go(func() { m.runTriggeredHeartbeats(ctx) })
+	var loops sync.WaitGroup
+	loops.Go(func() { m.runDeploymentPulls(ctx) })
+	defer loops.Wait()
+	loops.Go(func() { m.runTriggeredHeartbeats(ctx) })
 	for ctx.Err() == nil {
 		changed := m.follower.Changed()
 		m.sendHeartbeats(ctx)
@@ -43,9 +43,9 @@
 	calls.Wait()
 }
 
-// nextCopyOwner returns, in turn, one of the daemons whose requests this one keeps
-// copies of. It need not be a contact, and only it can tell that it has been
-// replaced by a newer process.
+// nextCopyOwner returns the owners of the copies that this daemon keeps, one per call in
+// rotation. An owner need not be a contact, and only a reply from its address can prove
+// that a newer process has replaced it.
 func (m *Mesh) nextCopyOwner() (vmlist.VM, bool) {
 	owners := m.copies.Owners()
 	if len(owners) == 0 {
@@ -81,7 +81,7 @@
 	m.mergeAdvice(reply.GetDaemonId(), reply.GetAdvice())
 }
 
-// handlePeerState takes over what a peer has said of itself.
+// handlePeerState processes the identity and the generation that a peer has sent.
 func (m *Mesh) handlePeerState(id string, incarnation uint64, generation int64) {
 	m.recordProcess(process{id, incarnation})
 	if generation <= m.follower.Generation() {
@@ -93,7 +93,7 @@
 	}
 }
 
-// recordProcess remembers that a process has existed.
+// recordProcess records that a process has existed.
 func (m *Mesh) recordProcess(p process) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,7 +107,8 @@
 	}
 }
 
-// nextLogicalTime returns the present moment, later than all that has been learnt.
+// nextLogicalTime advances the logical clock and returns its new value, which is later
+// than every recorded time.
 func (m *Mesh) nextLogicalTime() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -115,15 +116,15 @@
 	return m.logicalTime
 }
 
-// recordReply takes over which process has answered a call that began at asked. A
-// process of the same daemon that was known before the call is dead, since only
-// one listens at the address. What a message tells that comes in by itself
-// proves nothing: it may be handled long after its sender has been replaced.
+// recordReply processes the reply of process p to a call that started at logical time
+// asked. Another process of the same daemon that was known before the call has ended,
+// since only one process can listen at the address. An incoming message proves no such
+// thing, because it may be processed long after its sender has been replaced.
 func (m *Mesh) recordReply(p process, asked int64) {
 	m.mu.Lock()
 	replaced := false
-	for other, learned := range m.firstSeen {
-		if other.daemon == p.daemon && other != p && learned < asked && !m.replaced[other] {
+	for other, seenAt := range m.firstSeen {
+		if other.daemon == p.daemon && other != p && seenAt < asked && !m.replaced[other] {
 			m.replaced[other] = true
 			replaced = true
 		}
@@ -136,7 +137,7 @@
 	}
 }
 
-// runDeploymentPulls fetches the deployment from peers that have a higher generation.
+// runDeploymentPulls fetches the deployment from peers that report a higher generation.
 func (m *Mesh) runDeploymentPulls(ctx context.Context) {
 	for {
 		select {
@@ -148,8 +149,8 @@
 	}
 }
 
-// pullDeployment fetches from one peer. The heartbeat that asked for it is a reason to
-// look; what the peer sends decides.
+// pullDeployment fetches the deployment from one peer. The generation in the heartbeat
+// only triggers the call; the generation in the reply decides whether it is applied.
 func (m *Mesh) pullDeployment(ctx context.Context, id string) {
 	vm, ok := m.findDaemon(id)
 	if !ok {
@@ -159,7 +160,7 @@
 		return m.fetchDeployment(ctx, vm, known)
 	})
 	if err != nil {
-		m.logger.Warn("cannot take over the deployment of a peer", "peer", id, "error", err)
+		m.logger.Warn("cannot apply deployment of peer", "peer", id, "error", err)
 	}
 }
 
--- a/internal/peer/held.go
+++ b/internal/peer/held.go
@@ -9,11 +9,12 @@
 	"github.com/plankridge/plankridge/internal/quarantine"
 )
 
-// TriggeredHeartbeatDelay is how long it takes until contacts have told each other what is worth an early
-// heartbeat: each waits up to 0.2 s for what else comes, and a call takes some milliseconds.
+// TriggeredHeartbeatDelay is how long it takes until contacts have exchanged a change
+// that triggers heartbeats. Each daemon waits up to 0.2 s to batch changes, and a call
+// takes a few milliseconds.
 const TriggeredHeartbeatDelay = 250 * time.Millisecond
 
-// TriggerHeartbeats lets heartbeats go out at once.
+// TriggerHeartbeats sends heartbeats at once.
 func (m *Mesh) TriggerHeartbeats() {
 	select {
 	case m.trigger <- struct{}{}:
@@ -21,8 +22,8 @@
 	}
 }
 
-// runTriggeredHeartbeats sends the heartbeats that are asked for. Each is sent beside those that wait for a
-// contact that does not answer, for callTimeout at most.
+// runTriggeredHeartbeats sends the triggered heartbeats. It does not wait for earlier
+// calls to contacts that do not answer, which end after callTimeout.
 func (m *Mesh) runTriggeredHeartbeats(ctx context.Context) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
@@ -38,31 +39,31 @@
 	}
 }
 
-// encodeHeld encodes what this daemon knows of requests that end servers.
+// encodeHeld encodes the known requests during which servers have ended.
 func (m *Mesh) encodeHeld() []byte {
 	if m.quarantine == nil {
 		return nil
 	}
-	words := m.quarantine.Tell(time.Now())
-	if len(words) == 0 {
+	records := m.quarantine.Tell(time.Now())
+	if len(records) == 0 {
 		return nil
 	}
-	told, err := json.Marshal(words)
+	raw, err := json.Marshal(records)
 	if err != nil {
-		m.logger.Error("requests that are held back cannot be encoded", "error", err)
+		m.logger.Error("cannot encode held requests", "error", err)
 	}
-	return told
+	return raw
 }
 
-// mergeHeld takes over what a peer knows of requests that end servers.
-func (m *Mesh) mergeHeld(peer string, told []byte) {
-	if m.quarantine == nil || len(told) == 0 {
+// mergeHeld merges a peer's requests during which servers have ended.
+func (m *Mesh) mergeHeld(peer string, raw []byte) {
+	if m.quarantine == nil || len(raw) == 0 {
 		return
 	}
-	var words []quarantine.Word
-	if err := json.Unmarshal(told, &words); err != nil {
-		m.logger.Warn("requests that a peer holds back cannot be read", "peer", peer, "error", err)
+	var records []quarantine.Word
+	if err := json.Unmarshal(raw, &records); err != nil {
+		m.logger.Warn("cannot decode held requests from peer", "peer", peer, "error", err)
 		return
 	}
-	m.quarantine.Hear(words, 0, time.Now())
+	m.quarantine.Hear(records, 0, time.Now())
 }
--- a/internal/peer/keys.go
+++ b/internal/peer/keys.go
@@ -16,8 +16,7 @@
 	"github.com/plankridge/plankridge/internal/vmlist"
 )
 
-// KeyPeers is the mesh as the manager of keys needs it. It implements
-// keys.Peers.
+// KeyPeers gives the key manager access to the other daemons. It implements keys.Peers.
 type KeyPeers struct {
 	Mesh       *Mesh
 	Dispatcher *dispatch.Dispatcher
@@ -38,19 +37,19 @@
 func (p *KeyPeers) Zones() map[string][]string {
 	staying := map[string][]string{}
 	listed := map[string]bool{}
-	var everywhere []string
+	var allStaying []string
 	for _, daemon := range p.Mesh.Daemons() {
 		listed[daemon.Zone] = true
 		if daemon.State != vmlist.VMLeaving {
 			staying[daemon.Zone] = append(staying[daemon.Zone], daemon.ID)
-			everywhere = append(everywhere, daemon.ID)
+			allStaying = append(allStaying, daemon.ID)
 		}
 	}
 	own := p.Mesh.self.Zone
 	zones := map[string][]string{own: staying[own]}
 	for _, zone := range p.KnownZones() {
 		if !listed[zone] && p.Mesh.isListed() {
-			zones[zone] = everywhere
+			zones[zone] = allStaying
 		}
 	}
 	return zones
@@ -62,7 +61,7 @@
 	if err != nil {
 		return eris.Wrap(err, "encode records")
 	}
-	err = eris.New("no daemon can be asked")
+	err = eris.New("no daemon to keep the records")
 	for _, name := range daemons {
 		vm, known := p.Mesh.findDaemon(name)
 		if !known || vm.State == vmlist.VMLeaving {
@@ -83,7 +82,7 @@
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	_, err = client.KeepKeys(ctx, &peerpb.KeepKeysRequest{Records: raw})
-	return eris.Wrap(err, "keep records at peer")
+	return eris.Wrap(err, "keep key records at peer")
 }
 
 // Collect implements keys.Peers.
@@ -100,18 +99,18 @@
 	defer cancel()
 	reply, err := client.PendingKeys(ctx, &peerpb.PendingKeysRequest{})
 	if err != nil {
-		return nil, eris.Wrapf(err, "ask %s for records", vm.ID)
+		return nil, eris.Wrapf(err, "get key records of daemon %s", vm.ID)
 	}
 	if reply.GetIncarnation() != holder.Incarnation {
-		return nil, eris.Errorf("another process answers for %s", vm.ID)
+		return nil, eris.Errorf("daemon %s has been replaced by another process", vm.ID)
 	}
 	var records []keys.Record
 	err = json.Unmarshal(reply.GetRecords(), &records)
 	return records, eris.Wrap(err, "decode records")
 }
 
-// Forward implements keys.Peers. An error means that the holder may have
-// accepted the request; a holder that does not answer a probe has not.
+// Forward implements keys.Peers. After an error the holder may have accepted the request.
+// A holder that does not answer a probe has not been sent the request.
 func (p *KeyPeers) Forward(ctx context.Context, holder keys.Holder, spec request.Spec) (keys.Result, error) {
 	vm, known := p.Mesh.findDaemon(holder.Daemon)
 	if !known || !p.Mesh.isReachable(ctx, vm) {
@@ -129,7 +128,7 @@
 	defer cancel()
 	reply, err := client.SubmitKeyed(ctx, &peerpb.SubmitKeyedRequest{Spec: raw})
 	if err != nil {
-		return keys.Result{}, eris.Wrap(err, "submit at the home of the key")
+		return keys.Result{}, eris.Wrap(err, "submit to the holder of the key")
 	}
 	var result keys.Result
 	err = json.Unmarshal(reply.GetResult(), &result)
--- a/internal/peer/locate.go
+++ b/internal/peer/locate.go
@@ -15,32 +15,32 @@
 	"github.com/plankridge/plankridge/internal/vmlist"
 )
 
-// Locate finds a request that another daemon holds: its owner or, when that
-// has gone, a daemon that has taken it over or keeps its answer. It returns
-// dispatch.ErrNotFound when no daemon knows the request, and another error when
-// one that might know it cannot be asked now.
+// Locate finds a request that another daemon holds: its owner or, if the owner is gone, a
+// daemon that has taken the request over or holds its answer. It returns
+// dispatch.ErrNotFound if no daemon knows the request, and another error if a daemon that
+// may know it cannot be asked now.
 func (m *Mesh) Locate(ctx context.Context, id request.ID) (*Remote, error) {
 	holders := m.holders(id)
-	failed := error(dispatch.ErrNotFound)
-	for wave := locateBatchSize; len(holders) > 0; wave *= locateBatchSize {
-		asked := holders[:min(wave, len(holders))]
-		holders = holders[len(asked):]
-		remote, err := m.askAll(ctx, asked, id)
+	lastErr := error(dispatch.ErrNotFound)
+	for batchSize := locateBatchSize; len(holders) > 0; batchSize *= locateBatchSize {
+		batch := holders[:min(batchSize, len(holders))]
+		holders = holders[len(batch):]
+		remote, err := m.askAll(ctx, batch, id)
 		if err == nil {
 			return remote, nil
 		}
 		if !errors.Is(err, dispatch.ErrNotFound) {
-			failed = err
+			lastErr = err
 		}
 	}
-	if errors.Is(failed, dispatch.ErrNotFound) && m.copies.Has(id) {
+	if errors.Is(lastErr, dispatch.ErrNotFound) && m.copies.Has(id) {
 		return nil, errOwnerUnreachable
 	}
-	return nil, failed
+	return nil, lastErr
 }
 
-// askAll asks daemons at the same time and returns the first one's answer, in
-// their order, that holds the request.
+// askAll asks daemons concurrently. It returns the request from the first of them, in the
+// given order, that holds it.
 func (m *Mesh) askAll(ctx context.Context, daemons []vmlist.VM, id request.ID) (*Remote, error) {
 	remotes := make([]*Remote, len(daemons))
 	errs := make([]error, len(daemons))
@@ -49,20 +49,20 @@
 		calls.Go(func() { remotes[i], errs[i] = m.askDaemon(ctx, vm, id) })
 	}
 	calls.Wait()
-	failed := error(dispatch.ErrNotFound)
+	lastErr := error(dispatch.ErrNotFound)
 	for i := range daemons {
 		if errs[i] == nil {
 			return remotes[i], nil
 		}
 		if !errors.Is(errs[i], dispatch.ErrNotFound) {
-			failed = errs[i]
+			lastErr = errs[i]
 		}
 	}
-	return nil, failed
+	return nil, lastErr
 }
 
-// holders returns the daemons that may hold a request, the likeliest first:
-// the one that accepted it, then its keepers.
+// holders returns the daemons that may hold a request, the most likely one first: the
+// daemon that accepted it, then the others in the order of AnswerHolders.
 func (m *Mesh) holders(id request.ID) []vmlist.VM {
 	var holders []vmlist.VM
 	for _, daemon := range AnswerHolders(string(id), m.Daemons()) {
@@ -89,8 +89,7 @@
 	return remote, nil
 }
 
-// Remote is a request that another daemon holds. It implements
-// dispatch.Source.
+// Remote is a request that another daemon holds. It implements dispatch.Source.
 type Remote struct {
 	id     request.ID
 	client peerpb.PeerClient
@@ -126,7 +125,7 @@
 			return locateError(err)
 		}
 		if wire.GetRequestId() != string(r.id) {
-			return eris.New("peer sent an event of another request")
+			return eris.New("peer sent an event for another request")
 		}
 		event := fromWire(wire)
 		if err := sink(event); err != nil {
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -1,6 +1,6 @@
-// Package peer is the traffic between the daemons of one deployment:
-// heartbeats that carry the configuration generation, and the state and answer
-// of requests that another daemon holds.
+// Package peer implements the RPCs between the daemons of one deployment: heartbeats,
+// which carry the configuration generation, and access to the state and answers of
+// requests that another daemon holds.
 package peer
 
 import (
@@ -27,41 +27,42 @@
 )
 
 const (
-	// heartbeatInterval is the time between two heartbeats to a contact. A new
-	// generation is told at once.
+	// heartbeatInterval is the time between two heartbeats to a contact. A new generation
+	// is sent at once.
 	heartbeatInterval = 2 * time.Second
-	// attemptTimeout bounds one try of a copy or a hand-over, before the next
-	// daemon is asked.
+	// attemptTimeout bounds one attempt to copy or hand over a request, before the next
+	// daemon is tried.
 	attemptTimeout = 500 * time.Millisecond
 	// callTimeout bounds a short call to a peer.
 	callTimeout = 2 * time.Second
-	// MaxMessageBytes bounds a message between daemons, in bytes.
+	// MaxMessageBytes is the maximum size of a message between daemons.
 	MaxMessageBytes = 32 << 20
-	// locateBatchSize is the number of daemons that are first asked for a request;
-	// each further wave is that many times larger.
+	// locateBatchSize is the number of daemons that are asked first for a request. Each
+	// further batch is larger by the same factor.
 	locateBatchSize = 4
 )
 
-// errOwnerUnreachable means that this daemon keeps a copy of a request whose owner
-// does not answer and is not proved dead.
+// errOwnerUnreachable means that this daemon keeps a copy of a request whose owner does
+// not answer but has not been proved dead.
 var errOwnerUnreachable = errors.New("owner of the request does not answer")
 
-// Options are what a Mesh works with.
+// Options configures a Mesh.
 type Options struct {
 	Self        vmlist.VM
 	Network     network.Network
 	Credentials credentials.TransportCredentials
 	Follower    *generation.Follower
-	// Copies are the copies that this daemon keeps for others.
+	// Copies holds the copies of requests that this daemon keeps for others.
 	Copies *backup.Store
-	// Quarantine is what this daemon knows of requests that end servers; nil knows nothing.
+	// Quarantine holds the known requests during which servers have ended. It may be nil.
 	Quarantine *watch.Watch
-	// Advice is the load advice of backend servers; nil has none.
+	// Advice holds the load advice of backend servers. It may be nil.
 	Advice Advice
 	Logger *slog.Logger
 }
 
-// Mesh knows the peers of a daemon and speaks to them.
+// Mesh manages a daemon's peers and the connections to them. It is safe for concurrent
+// use.
 type Mesh struct {
 	self        vmlist.VM
 	network     network.Network
@@ -72,43 +73,43 @@
 	pullTargets chan string
 	quarantine  *watch.Watch
 	advice      Advice
-	// trigger asks for heartbeats at once.
+	// trigger requests heartbeats at once.
 	trigger chan struct{}
 
 	copies  *backup.Store
 	adopter Adopter
-	// ownerIndex counts the checked owners of copies; only Run uses it.
+	// ownerIndex selects the owner returned by nextCopyOwner. Only Run uses it.
 	ownerIndex int
 
 	mu      sync.Mutex
 	daemons []vmlist.VM
-	// daemonsListed is true once the daemons are known, as of revision of the VM
-	// list; selfListedAt is the first revision that showed this daemon.
+	// daemonsListed is set once the VM list has been read; revision is its last revision.
+	// selfListedAt is the first revision that contained this daemon.
 	daemonsListed bool
 	revision      int64
 	selfListedAt  int64
 	conns         map[string]*connection
 	closed        bool
-	// learned is the moment at which this daemon first heard of a process, before
-	// holds the processes that are proved to be replaced.
+	// firstSeen is the logical time at which this daemon first learned of a process.
+	// replaced holds the processes that are proved to have been replaced.
 	logicalTime int64
 	firstSeen   map[process]int64
 	replaced    map[process]bool
 }
 
-// errMeshClosed means that the daemon speaks to its peers no more.
-var errMeshClosed = errors.New("peers are closed")
+// errMeshClosed is returned for calls after Close.
+var errMeshClosed = errors.New("mesh is closed")
 
-// neverListed stands for a daemon that the VM list has not shown yet.
+// neverListed is the value of selfListedAt before the VM list has contained this daemon.
 const neverListed = math.MaxInt64
 
-// process is one process of a daemon.
+// process identifies one process of a daemon.
 type process struct {
 	daemon      string
 	incarnation uint64
 }
 
-// connection is the connection to one daemon at one address.
+// connection is a connection to one daemon at one address.
 type connection struct {
 	address string
 	conn    *grpc.ClientConn
@@ -137,11 +138,11 @@
 	}
 }
 
-// SetAdopter sets what takes over the requests of dead daemons. It is called
-// before Run.
-func (m *Mesh) SetAdopter(heir Adopter) { m.adopter = heir }
+// SetAdopter sets the component that takes over the requests of dead daemons. It must be
+// called before Run.
+func (m *Mesh) SetAdopter(adopter Adopter) { m.adopter = adopter }
 
-// SetDaemons takes over the daemons of the VM list as of a revision.
+// SetDaemons replaces the known daemons by those in the VM list as of a revision.
 func (m *Mesh) SetDaemons(daemons []vmlist.VM, revision int64) {
 	m.replaceDaemons(daemons)
 	m.noteRevision(daemons, revision)
@@ -160,15 +161,15 @@
 	}
 }
 
-// selfListedRevision returns a revision of the VM list that shows this daemon, or
-// neverListed.
+// selfListedRevision returns the first revision of the VM list that contained this
+// daemon, or neverListed.
 func (m *Mesh) selfListedRevision() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.selfListedAt
 }
 
-// SelfListed reports whether the VM list shows this daemon's VM.
+// SelfListed reports whether the VM list has contained this daemon's VM.
 func (m *Mesh) SelfListed() bool { return m.selfListedRevision() != neverListed }
 
 func (m *Mesh) replaceDaemons(daemons []vmlist.VM) {
@@ -187,18 +188,18 @@
 	}
 }
 
-// Incarnation tells this process from others of the same daemon.
+// Incarnation distinguishes this process from other processes of the same daemon.
 func (m *Mesh) Incarnation() uint64 { return m.incarnation }
 
-// Daemons returns the known daemons, this one included.
+// Daemons returns the known daemons, including this one. The caller must not modify the
+// slice.
 func (m *Mesh) Daemons() []vmlist.VM {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.daemons
 }
 
-// client returns a client of a peer. The connection is opened when it is first
-// used.
+// client returns a client for a peer. The connection is opened on first use.
 func (m *Mesh) client(vm vmlist.VM) (peerpb.PeerClient, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -74,7 +74,7 @@
 	c.Check(AnswerHolders(id, reversed), qt.DeepEquals, first)
 }
 
-// authority issues certificates into a folder.
+// authority issues certificates into a directory.
 type authority struct {
 	c    *qt.C
 	dir  string
@@ -88,8 +88,7 @@
 	return a
 }
 
-// issue writes NAME.pem and NAME.key; a certificate without a parent signs
-// itself.
+// issue writes NAME.pem and NAME.key. Without a parent, the certificate is self-signed.
 func (a *authority) issue(name string, parent *authority, dnsName string) (*x509.Certificate, *ecdsa.PrivateKey) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	a.c.Assert(err, qt.IsNil)
@@ -173,20 +172,20 @@
 
 func TestMutualTLS(t *testing.T) {
 	c := qt.New(t)
-	ours, theirs := newAuthority(c, c.TempDir()), newAuthority(c, c.TempDir())
-	ours.issue("a", ours, CertificateName)
-	ours.issue("b", ours, CertificateName)
-	ours.issue("other", ours, "some-other-program")
-	theirs.issue("x", theirs, CertificateName)
-	a, b := credentialsOf(c, ours.files("a"), time.Hour), credentialsOf(c, ours.files("b"), time.Hour)
+	trusted, untrusted := newAuthority(c, c.TempDir()), newAuthority(c, c.TempDir())
+	trusted.issue("a", trusted, CertificateName)
+	trusted.issue("b", trusted, CertificateName)
+	trusted.issue("other", trusted, "some-other-program")
+	untrusted.issue("x", untrusted, CertificateName)
+	a, b := credentialsOf(c, trusted.files("a"), time.Hour), credentialsOf(c, trusted.files("b"), time.Hour)
 
 	serverErr, clientErr := handshake(a, b)
 	c.Assert(serverErr, qt.IsNil)
 	c.Assert(clientErr, qt.IsNil)
-	for _, stranger := range []*config.PeerTLS{theirs.files("x"), ours.files("other")} {
-		serverErr, clientErr = handshake(a, credentialsOf(c, stranger, time.Hour))
+	for _, rejected := range []*config.PeerTLS{untrusted.files("x"), trusted.files("other")} {
+		serverErr, clientErr = handshake(a, credentialsOf(c, rejected, time.Hour))
 		c.Check(serverErr != nil || clientErr != nil, qt.IsTrue)
-		serverErr, clientErr = handshake(credentialsOf(c, stranger, time.Hour), a)
+		serverErr, clientErr = handshake(credentialsOf(c, rejected, time.Hour), a)
 		c.Check(serverErr != nil || clientErr != nil, qt.IsTrue)
 	}
 }
@@ -217,8 +216,8 @@
 	c.Check(err, qt.ErrorIs, errMeshClosed)
 }
 
-// TestLateMessageProvesNoDeath handles a message of a replaced process after
-// its successor has answered.
+// TestLateMessageProvesNoDeath checks that a process is not taken for dead when a message
+// from a replaced process is processed after its successor has answered.
 func TestLateMessageProvesNoDeath(t *testing.T) {
 	c := qt.New(t)
 	m := NewMesh(Options{Self: vmlist.VM{ID: "self"}, Copies: backup.NewStore(1), Logger: slog.New(slog.DiscardHandler)})
@@ -228,9 +227,9 @@
 	c.Check(m.ownerIsDead(successor), qt.IsFalse)
 	c.Check(m.ownerIsDead(old), qt.IsFalse)
 
-	begun := m.nextLogicalTime()
+	callStart := m.nextLogicalTime()
 	m.recordProcess(process{"d", 3}) // a copy of a newer process, while the call is under way
-	m.recordReply(process{"d", 2}, begun)
+	m.recordReply(process{"d", 2}, callStart)
 	c.Check(m.ownerIsDead(backup.Owner{Daemon: "d", Incarnation: 3}), qt.IsFalse)
 	c.Check(m.ownerIsDead(old), qt.IsTrue)
 
--- a/internal/peer/replicator.go
+++ b/internal/peer/replicator.go
@@ -15,12 +15,12 @@
 	"github.com/plankridge/plankridge/internal/vmlist"
 )
 
-// maxBackupAttempts is the number of daemons asked to keep a copy.
+// maxBackupAttempts is the maximum number of daemons that are asked to keep a copy.
 const maxBackupAttempts = 4
 
-// backups returns the daemons that may keep a copy, the best first: those in
-// another availability zone, in the order of the request's keepers, then those
-// of the own zone. Leaving daemons are left out.
+// backups returns the daemons that may keep a copy, in order of preference: those in
+// other availability zones, in the order of AnswerHolders, then those of this daemon's
+// zone. Leaving daemons are excluded.
 func (m *Mesh) backups(id request.ID) []vmlist.VM {
 	var outside, inside []vmlist.VM
 	for _, daemon := range AnswerHolders(string(id), m.Daemons()) {
@@ -58,7 +58,7 @@
 	if err != nil {
 		return "", err
 	}
-	err = eris.New("no other daemon is known")
+	err = eris.New("no other daemon is available")
 	for i, vm := range m.backups(c.Spec.ID) {
 		if i == maxBackupAttempts {
 			break
@@ -86,7 +86,7 @@
 func (m *Mesh) sendToBackup(ctx context.Context, backupID string, message *peerpb.CopyRequestRequest) error {
 	vm, ok := m.findDaemon(backupID)
 	if !ok {
-		return eris.Errorf("backup %s is gone", backupID)
+		return eris.Errorf("backup %s is no longer listed", backupID)
 	}
 	return m.sendCopy(ctx, vm, message)
 }
@@ -102,10 +102,10 @@
 	return eris.Wrap(err, "copy request to peer")
 }
 
-// TakeOver implements dispatch.Replicator. An idempotent request may end up at
-// two daemons when an answer is lost. Another one is offered once: were the
-// offer repeated, a daemon that has taken it, run it and restarted would run it
-// again.
+// TakeOver implements dispatch.Replicator. If a response is lost, an idempotent request
+// may end up at two daemons. A request that is not idempotent is offered only once. If
+// the offer were repeated, a daemon that had accepted it, run it and restarted would run
+// it again.
 func (m *Mesh) TakeOver(ctx context.Context, backupID string, c dispatch.Copy) error {
 	raw, err := json.Marshal(c.Spec)
 	if err != nil {
@@ -116,7 +116,7 @@
 	if vm, ok := m.findDaemon(backupID); ok && vm.State != vmlist.VMLeaving {
 		targets = append([]vmlist.VM{vm}, targets...)
 	}
-	err = eris.New("no other daemon is known")
+	err = eris.New("no other daemon is available")
 	for _, vm := range targets {
 		if !c.Spec.Idempotent() && !m.isReachable(ctx, vm) {
 			continue
@@ -130,7 +130,7 @@
 	return err
 }
 
-// isReachable reports whether a daemon can be reached now.
+// isReachable reports whether a daemon answers a call now.
 func (m *Mesh) isReachable(ctx context.Context, vm vmlist.VM) bool {
 	client, err := m.client(vm)
 	if err != nil {
@@ -153,14 +153,14 @@
 	return eris.Wrap(err, "hand request over")
 }
 
-// Hold gives a finished answer to a daemon that keeps it.
+// Hold stores a finished answer at another daemon.
 func (m *Mesh) Hold(ctx context.Context, spec request.Spec, tokens []string, last dispatch.Event) error {
 	raw, err := encodeSpec(spec)
 	if err != nil {
 		return err
 	}
 	message := &peerpb.HoldAnswerRequest{Spec: raw, Tokens: tokens, Last: toWire(spec.ID, last)}
-	err = eris.New("no other daemon is known")
+	err = eris.New("no other daemon is available")
 	for _, vm := range m.backups(spec.ID) {
 		if err = m.holdAnswerAt(ctx, vm, message); err == nil {
 			return nil
@@ -180,7 +180,7 @@
 	return eris.Wrap(err, "hold answer at peer")
 }
 
-// Adopter runs what dead owners have left.
+// Adopter takes over the requests of dead owners.
 type Adopter interface {
 	// Adopt makes this daemon the owner of a request.
 	Adopt(spec request.Spec, tokens []string) error
@@ -188,8 +188,8 @@
 	RecordLost(spec request.Spec)
 }
 
-// adoptOrphanedCopies takes over the copies whose owners are proved dead: their VM is not
-// in the VM list any more, or a newer process has answered in its place.
+// adoptOrphanedCopies takes over the copies whose owners are proved dead: their VM is no
+// longer in the VM list, or a newer process has answered at their address.
 func (m *Mesh) adoptOrphanedCopies() {
 	if m.adopter == nil {
 		return
@@ -206,18 +206,18 @@
 	}
 }
 
-// handOverCopy hands a copy to another daemon, because this one is leaving too.
+// handOverCopy hands a copy to another daemon because this one is leaving too.
 func (m *Mesh) handOverCopy(c backup.Copy) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	if err := m.TakeOver(ctx, "", dispatch.Copy{Spec: c.Spec, Tokens: c.Tokens}); err != nil {
-		m.logger.Error("copy of a dead daemon's request is lost", "request_id", c.Spec.ID, "error", err)
+		m.logger.Error("cannot hand over copy of a dead daemon's request, copy lost", "request_id", c.Spec.ID, "error", err)
 	}
 }
 
 func (m *Mesh) ownerIsDead(owner backup.Owner) bool {
 	if owner.Daemon == m.self.ID && owner.Incarnation != m.incarnation {
-		// This process listens where the owner did.
+		// This process listens at the owner's address, so the owner has ended.
 		return true
 	}
 	m.mu.Lock()
@@ -237,5 +237,5 @@
 	return true
 }
 
-// Copies returns the number of copies kept for others and their bytes.
+// Copies returns the number of copies kept for other daemons and their size in bytes.
 func (m *Mesh) Copies() (count, bytes int) { return m.copies.Len() }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -18,7 +18,7 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// Server answers the peers of a daemon.
+// Server serves the calls of a daemon's peers.
 type Server struct {
 	peerpb.UnimplementedPeerServer
 	mesh       *Mesh
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -10,7 +10,7 @@
 	"github.com/plankridge/plankridge/internal/vmlist"
 )
 
-// DaemonStatus is what one daemon says of itself.
+// DaemonStatus is the status that one daemon reports of itself.
 type DaemonStatus struct {
 	ID         string     `json:"id"`
 	Zone       string     `json:"zone"`
@@ -21,7 +21,7 @@
 	Burn       []burn.Row `json:"-"`
 }
 
-// Statuses asks every daemon but this one.
+// Statuses asks all known daemons, including this one, for their status.
 func (m *Mesh) Statuses(ctx context.Context) []DaemonStatus {
 	daemons := m.Daemons()
 	statuses := make([]DaemonStatus, len(daemons))
@@ -50,7 +50,7 @@
 	result.Draining = reply.GetDraining()
 	result.InFlight = int(reply.GetInFlight())
 	if err := json.Unmarshal(reply.GetBurn(), &result.Burn); err != nil {
-		m.logger.Warn("cannot read a peer's burn rows", "peer", vm.ID, "error", err)
+		m.logger.Warn("cannot decode burn rows from peer", "peer", vm.ID, "error", err)
 	}
 	return result
 }
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -13,25 +13,25 @@
 	"github.com/plankridge/plankridge/internal/config"
 )
 
-// reloadInterval is how often the files of mutual TLS are read again.
+// reloadInterval is how often the files for mutual TLS are reloaded.
 const reloadInterval = 30 * time.Second
 
-// CertificateName is the DNS name that every daemon's certificate carries.
-// Daemons are replaced at any time, so certificates do not name addresses.
+// CertificateName is the DNS name in every daemon's certificate. Certificates do not
+// contain addresses because daemons may be replaced at any time.
 const CertificateName = "plankridge-peer"
 
-// Credentials are the two sides of the peer traffic's security.
+// Credentials holds the server and client credentials for peer connections.
 type Credentials struct {
 	Server credentials.TransportCredentials
 	Client credentials.TransportCredentials
 	close  func()
 }
 
-// Close ends the reloading of files.
+// Close stops reloading the files.
 func (c *Credentials) Close() { c.close() }
 
-// NewCredentials returns mutual TLS from files that are reloaded, or plain
-// text where the settings ask for it.
+// NewCredentials returns credentials for mutual TLS, reloaded from files, or plaintext
+// credentials if the settings ask for them.
 func NewCredentials(settings config.PeerSettings) (*Credentials, error) {
 	if settings.Plaintext {
 		plain := insecure.NewCredentials()
@@ -63,12 +63,12 @@
 func (c *Credentials) build(identity, roots certprovider.Provider) error {
 	verify := func(info *advancedtls.HandshakeVerificationInfo) (*advancedtls.PostHandshakeVerificationResults, error) {
 		if err := info.Leaf.VerifyHostname(CertificateName); err != nil {
-			return nil, eris.Wrap(err, "certificate is not a daemon's")
+			return nil, eris.Wrap(err, "certificate does not belong to a daemon")
 		}
 		return &advancedtls.PostHandshakeVerificationResults{}, nil
 	}
 	options := func() *advancedtls.Options {
-		// Making credentials fills in the options, so each side has its own.
+		// Creating credentials modifies the options, so each side needs its own.
 		return &advancedtls.Options{
 			IdentityOptions:            advancedtls.IdentityCertificateOptions{IdentityProvider: identity},
 			RootOptions:                advancedtls.RootCertificateOptions{RootProvider: roots},
@@ -79,11 +79,11 @@
 	}
 	server, err := advancedtls.NewServerCreds(options())
 	if err != nil {
-		return eris.Wrap(err, "make peer server credentials")
+		return eris.Wrap(err, "create peer server credentials")
 	}
 	client, err := advancedtls.NewClientCreds(options())
 	if err != nil {
-		return eris.Wrap(err, "make peer client credentials")
+		return eris.Wrap(err, "create peer client credentials")
 	}
 	c.Server, c.Client = server, client
 	return nil
