--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -49,8 +49,8 @@
 	DemandRates map[string]float64 `json:"asked"`
 	// Warmup is set if the holder had just started to count RecentUses.
 	Warmup bool `json:"warmup,omitempty"`
-	// Paces holds the learned performance figures of the engines, by service.
-	Paces map[string]pace.EngineFigures `json:"paces,omitempty"`
+	// EngineFigures holds the learned performance figures of the engines, by service.
+	EngineFigures map[string]pace.EngineFigures `json:"paces,omitempty"`
 	// FirstTryLimits holds the time limits of first tries, by route.
 	FirstTryLimits map[string]time.Duration `json:"limits,omitempty"`
 	// RequestWindows holds the requests that started in the latest windows, over all
@@ -58,8 +58,8 @@
 	RequestWindows map[int64]usage.Counts `json:"windows,omitempty"`
 	// RollOuts holds the versions of the services and the roll-out orders in progress.
 	RollOuts *rollout.Memory `json:"rollouts,omitempty"`
-	// Held holds the requests during which servers have ended.
-	Held []quarantine.Word `json:"held,omitempty"`
+	// HeldRequests holds the requests during which servers have ended.
+	HeldRequests []quarantine.Word `json:"held,omitempty"`
 	// HeldAtMs is the wall-clock time as of which Held is valid, in milliseconds since
 	// 1970.
 	HeldAtMs int64 `json:"held_ms,omitempty"`
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -17,12 +17,12 @@
 	reach, _ := s.reach(now)
 	memory := lease.Snapshot{
 		Daemons: reach.Known, WrittenAtMs: standing.WrittenAtMs, RecentUses: standing.RecentUses, DemandRates: standing.DemandRates, Warmup: standing.Warmup,
-		Paces: s.view.Paces(), FirstTryLimits: s.limits.Usual(), RequestWindows: s.ledger.All(windowsTold),
+		EngineFigures: s.view.Paces(), FirstTryLimits: s.limits.Usual(), RequestWindows: s.ledger.All(windowsTold),
 	}
 	if uses, known := s.limiter.uses(); known {
 		memory.WrittenAtMs, memory.RecentUses, memory.DemandRates, memory.Warmup = now.UnixMilli(), uses, s.limiter.asked(), s.limiter.warmup()
 	}
-	memory.Held, memory.HeldAtMs = s.quarantine.Remember(now), now.UnixMilli()
+	memory.HeldRequests, memory.HeldAtMs = s.quarantine.Remember(now), now.UnixMilli()
 	if s.router.board.Enabled() {
 		versions := s.router.board.Remember(now)
 		memory.RollOuts = &versions
@@ -34,7 +34,7 @@
 // workspaces have used. listed is the number of daemons in the store's list, which may be short.
 func (s *state) recall(memory lease.Snapshot, listed int, now time.Time) bool {
 	daemons := max(listed, memory.Daemons)
-	s.view.Learn(memory.Paces)
+	s.view.Learn(memory.EngineFigures)
 	s.limits.Recall(memory.FirstTryLimits)
 	// Counts only grow: where daemons that are still there know more, theirs stand.
 	s.ledger.HeardAll(memory.RequestWindows)
@@ -48,7 +48,7 @@
 		s.told, s.toldAt = daemons, now
 	}
 	s.mu.Unlock()
-	s.router.logger.Info("known before the start", "daemons", daemons, "listed", listed, "workspaces", len(memory.RecentUses), "services", len(memory.Paces))
+	s.router.logger.Info("known before the start", "daemons", daemons, "listed", listed, "workspaces", len(memory.RecentUses), "services", len(memory.EngineFigures))
 	return opened
 }
 
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -20,5 +20,5 @@
 // daemon that is cut off from the holder reads the record in its turn.
 func (s *state) learnHeld(memory lease.Snapshot) {
 	now := time.Now()
-	s.quarantine.Hear(memory.Held, max(0, now.Sub(time.UnixMilli(memory.HeldAtMs))), now)
+	s.quarantine.Hear(memory.HeldRequests, max(0, now.Sub(time.UnixMilli(memory.HeldAtMs))), now)
 }
