--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -24,11 +24,11 @@
 )
 
 const (
-	// minReportInterval and maxReportInterval bound the time between two reports, and
-	// reportIntervalPerDaemon is added for every daemon of the deployment. A daemon's
-	// view of its own zone is at most one interval old, and its view of other zones at
-	// most two. In a small deployment each daemon spends allowances in large steps, so
-	// reports must be frequent; in a large one frequent reports would cost too much.
+	// The time between two reports is reportIntervalPerDaemon for each daemon of the
+	// deployment, bounded by minReportInterval and maxReportInterval. A daemon's view of
+	// its own zone is at most one interval old, and its view of other zones at most two.
+	// In a small deployment each daemon spends allowances in large steps, so reports must
+	// be frequent; in a large one frequent reports would cost too much.
 	minReportInterval       = 150 * time.Millisecond
 	maxReportInterval       = 400 * time.Millisecond
 	reportIntervalPerDaemon = 5 * time.Millisecond
@@ -38,8 +38,8 @@
 	ReportLeadTime = 40 * time.Millisecond
 	// minSendInterval is the minimum time between two sends.
 	minSendInterval = 50 * time.Millisecond
-	// reportsPerMemberList is the number of reports per report that lists the known
-	// daemons.
+	// reportsPerMemberList sets how often the known daemons are listed: in one of this
+	// many reports.
 	reportsPerMemberList = 8
 	// maxListedPerRemoteZone is the number of daemons per zone that a leader lists in its
 	// reports to other zones.
@@ -90,9 +90,9 @@
 
 // Sink processes the data received from peers.
 type Sink interface {
-	// HandleReport merges a peer's report. unknown is set for the first report of a
+	// HandleReport merges a peer's report. newProcess is set for the first report of a
 	// process.
-	HandleReport(status *gossippb.Status, unknown bool)
+	HandleReport(status *gossippb.Status, newProcess bool)
 	// NeedsPull reports whether a Pull call to the peer would return newer data.
 	NeedsPull(status *gossippb.Status) bool
 	// HandlePullReply merges the reply to a Pull call. It reports whether the peer must
@@ -244,7 +244,7 @@
 		return
 	}
 	now := time.Now()
-	fresh, unknown := n.options.Members.recordReport(Peer{
+	fresh, newProcess := n.options.Members.recordReport(Peer{
 		VM: status.GetVm(), Zone: status.GetZone(), Address: status.GetAddress(), Incarnation: status.GetIncarnation(),
 		ConfigVersion: status.GetConfigVersion(), ServersRevision: status.GetServersRevision(),
 		CountingFor: countingDuration(status), Fence: status.GetFence(), Draining: status.GetDraining(), StoreFailing: status.GetStoreFailing(), FollowsStore: status.GetFollows(),
@@ -255,17 +255,17 @@
 	for _, p := range status.GetKnown() {
 		n.options.Members.Learn(p.GetVm(), p.GetZone(), p.GetAddress(), now)
 	}
-	if unknown {
+	if newProcess {
 		n.options.Logger.Info("first report received from peer", "peer", status.GetVm(), "incarnation", status.GetIncarnation(), "config_version", status.GetConfigVersion())
 	}
-	n.options.Sink.HandleReport(status, unknown)
+	n.options.Sink.HandleReport(status, newProcess)
 	if status.GetOwn() != nil {
 		n.redirectReporter(status, now)
 	}
 	if status.GetAll() != nil {
 		notify(n.alignToLeader)
 	}
-	if unknown {
+	if newProcess {
 		n.TriggerReport()
 	}
 	if n.options.Sink.NeedsPull(status) && n.beginPull(status.GetAddress(), now) {
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -95,8 +95,8 @@
 }
 
 // recordReport stores a report received from the peer itself. fresh is false if the
-// report is not newer than the last one; unknown is set if the process was not known.
-func (m *Members) recordReport(report Peer, sequence uint64, now time.Time) (fresh, unknown bool) {
+// report is not newer than the last one; newProcess is set if the process was not known.
+func (m *Members) recordReport(report Peer, sequence uint64, now time.Time) (fresh, newProcess bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.peers[report.VM]
@@ -104,15 +104,15 @@
 		p = &member{}
 		m.peers[report.VM] = p
 	}
-	unknown = p.Incarnation != report.Incarnation
-	if !unknown && sequence <= p.sequence {
+	newProcess = p.Incarnation != report.Incarnation
+	if !newProcess && sequence <= p.sequence {
 		return false, false
 	}
 	learnedAt := p.LastLearnedAt
 	p.Peer, p.sequence, p.unansweredSince = report, sequence, time.Time{}
 	p.LastLearnedAt, p.LastHeardAt = learnedAt, now
 	delete(m.hints, report.Address)
-	return true, unknown
+	return true, newProcess
 }
 
 // recordSent records that a report is being sent to a peer.
--- a/internal/gossip/members_test.go
+++ b/internal/gossip/members_test.go
@@ -19,14 +19,14 @@
 func TestOldAndRepeatedReportsAreDropped(t *testing.T) {
 	c := qt.New(t)
 	m := NewMembers(self, nil)
-	fresh, unknown := m.recordReport(report("b", 1), 5, start)
-	c.Check(fresh && unknown, qt.IsTrue)
+	fresh, newProcess := m.recordReport(report("b", 1), 5, start)
+	c.Check(fresh && newProcess, qt.IsTrue)
 	fresh, _ = m.recordReport(report("b", 1), 5, start)
 	c.Check(fresh, qt.IsFalse)
 	fresh, _ = m.recordReport(report("b", 1), 4, start)
 	c.Check(fresh, qt.IsFalse)
-	fresh, unknown = m.recordReport(report("b", 2), 1, start)
-	c.Check(fresh && unknown, qt.IsTrue, qt.Commentf("the sequence of a restarted process starts again"))
+	fresh, newProcess = m.recordReport(report("b", 2), 1, start)
+	c.Check(fresh && newProcess, qt.IsTrue, qt.Commentf("the sequence of a restarted process starts again"))
 }
 
 func TestSilentPeersStayKnownForAWhile(t *testing.T) {
--- a/internal/gossip/plan.go
+++ b/internal/gossip/plan.go
@@ -31,7 +31,8 @@
 	// ZonePeers holds the other daemons of the zone. It is set for relays, and for a
 	// daemon that follows the store in place of relays that have become silent.
 	ZonePeers []Peer
-	// RemoteRelays holds the relays of other zones; it is set for the leader.
+	// RemoteRelays holds the relays of other zones, and daemons to probe in unreachable
+	// zones. It is set for the leader.
 	RemoteRelays []Peer
 	// DutyRank is this daemon's zero-based rank among the daemons that may act for the
 	// whole deployment: first the relays of all zones, then the others.
@@ -107,14 +108,14 @@
 // probeRotation is how long a leader sends to the same daemons of an unreachable zone.
 const probeRotation = time.Second
 
-// probeTargets returns daemons to send to in zones without a reachable daemon. Such a
+// probeTargets returns daemons to send to in zones that have no candidate. Such a
 // zone may be partitioned, and if neither side sends, neither detects that the partition
 // has ended. The targets rotate because some of the daemons may be gone for good. The
 // caller holds the lock.
-func (m *Members) probeTargets(heard map[string][]Peer, now time.Time) []Peer {
+func (m *Members) probeTargets(candidates map[string][]Peer, now time.Time) []Peer {
 	silent := map[string][]Peer{}
 	for _, p := range m.peers {
-		if len(heard[p.Zone]) == 0 && now.Sub(p.lastSeen()) < forgetAfter {
+		if len(candidates[p.Zone]) == 0 && now.Sub(p.lastSeen()) < forgetAfter {
 			silent[p.Zone] = append(silent[p.Zone], p.Peer)
 		}
 	}
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -90,8 +90,8 @@
 	return uses
 }
 
-// reportsPerHint is the number of a leader's reports per report that it also sends to a
-// hint address.
+// reportsPerHint sets how often a leader also sends its report to a hint address: one of
+// this many reports.
 const reportsPerHint = 4
 
 // sendToRemoteZones sends the leader's zone totals to the relays of other zones and, in
@@ -125,15 +125,15 @@
 // memberList returns up to limit peers of each zone that have been heard from within
 // forgetAfter.
 func memberList(peers []Peer, limit int, now time.Time) []*gossippb.Peer {
-	var names []*gossippb.Peer
+	var list []*gossippb.Peer
 	count := map[string]int{}
 	for _, p := range peers {
 		if count[p.Zone] < limit && !p.LastHeardAt.IsZero() && now.Sub(p.LastHeardAt) < forgetAfter {
 			count[p.Zone]++
-			names = append(names, &gossippb.Peer{Vm: p.VM, Zone: p.Zone, Address: p.Address})
+			list = append(list, &gossippb.Peer{Vm: p.VM, Zone: p.Zone, Address: p.Address})
 		}
 	}
-	return names
+	return list
 }
 
 func (n *Node) newStatus(sequence uint64) *gossippb.Status {
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -62,7 +62,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	asked := m.nextLogicalTime()
+	callStart := m.nextLogicalTime()
 	reply, err := client.Heartbeat(ctx, &peerpb.HeartbeatRequest{
 		DaemonId:    m.self.ID,
 		Zone:        m.self.Zone,
@@ -75,7 +75,7 @@
 		m.logger.Debug("heartbeat failed", "peer", contact.ID, "error", err)
 		return
 	}
-	m.recordReply(process{reply.GetDaemonId(), reply.GetIncarnation()}, asked)
+	m.recordReply(process{reply.GetDaemonId(), reply.GetIncarnation()}, callStart)
 	m.handlePeerState(reply.GetDaemonId(), reply.GetIncarnation(), reply.GetGeneration())
 	m.mergeHeld(reply.GetDaemonId(), reply.GetHeld())
 	m.mergeAdvice(reply.GetDaemonId(), reply.GetAdvice())
@@ -117,14 +117,14 @@
 }
 
 // recordReply processes the reply of process p to a call that started at logical time
-// asked. Another process of the same daemon that was known before the call has ended,
+// callStart. Another process of the same daemon that was known before the call has ended,
 // since only one process can listen at the address. An incoming message proves no such
 // thing, because it may be processed long after its sender has been replaced.
-func (m *Mesh) recordReply(p process, asked int64) {
+func (m *Mesh) recordReply(p process, callStart int64) {
 	m.mu.Lock()
 	replaced := false
 	for other, seenAt := range m.firstSeen {
-		if other.daemon == p.daemon && other != p && seenAt < asked && !m.replaced[other] {
+		if other.daemon == p.daemon && other != p && seenAt < callStart && !m.replaced[other] {
 			m.replaced[other] = true
 			replaced = true
 		}
--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -35,11 +35,11 @@
 // that a pause between the two readings never looks like a suspension.
 func raiseTo(longest *atomic.Int64, reading time.Duration) time.Duration {
 	for {
-		known := longest.Load()
-		if reading-time.Duration(known) < minSuspension {
-			return time.Duration(known)
+		current := longest.Load()
+		if reading-time.Duration(current) < minSuspension {
+			return time.Duration(current)
 		}
-		if longest.CompareAndSwap(known, int64(reading)) {
+		if longest.CompareAndSwap(current, int64(reading)) {
 			return reading
 		}
 	}
@@ -48,15 +48,15 @@
 // clockOffset returns how far CLOCK_BOOTTIME, which includes suspensions, is ahead of the
 // monotonic clock, which does not.
 func clockOffset() time.Duration {
-	counts := read(unix.CLOCK_BOOTTIME)
-	return counts - monotonic()
+	bootTime := read(unix.CLOCK_BOOTTIME)
+	return bootTime - monotonic()
 }
 
 // monotonic reads the clock behind time.Now.
 var monotonic = func() time.Duration { return read(unix.CLOCK_MONOTONIC) }
 
-// read returns the time of a clock, or zero if the clock cannot be read. That does not
-// change while the process runs, so no suspension is then reported.
+// read returns the time of a clock, or zero if the clock is unavailable. An unavailable
+// clock stays so, and then no suspension is reported.
 func read(clock int32) time.Duration {
 	var at unix.Timespec
 	if err := unix.ClockGettime(clock, &at); err != nil {
