--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -54,7 +54,7 @@
 	}
 	raw, err := proto.Marshal(common)
 	if err != nil {
-		n.options.Logger.Error("cannot encode report", "error", err)
+		n.options.Logger.Error("report could not be encoded", "error", err)
 		return
 	}
 	uses := n.usesFor(plan.ZonePeers, now)
@@ -159,7 +159,7 @@
 func (n *Node) sendMerged(raw []byte, extra *gossippb.Status, address string) {
 	datagram, err := proto.MarshalOptions{}.MarshalAppend(slices.Clip(raw), extra)
 	if err != nil {
-		n.options.Logger.Error("cannot encode report", "error", err)
+		n.options.Logger.Error("report could not be encoded", "error", err)
 		return
 	}
 	to, err := n.options.Network.ResolvePacket(address)
@@ -168,6 +168,6 @@
 		return
 	}
 	if _, err := n.packets.WriteTo(datagram, to); err != nil {
-		n.options.Logger.Debug("cannot send report", "peer_address", address, "error", err)
+		n.options.Logger.Debug("report not sent", "peer_address", address, "error", err)
 	}
 }
