--- a/internal/gossip/members_test.go
+++ b/internal/gossip/members_test.go
@@ -66,7 +66,7 @@
 	return all
 }
 
-func TestFirstDaemonsOfAZoneRelay(t *testing.T) {
+func TestFirstDaemonsOfAZoneAreRelays(t *testing.T) {
 	c := qt.New(t)
 	m := NewMembers(self, nil)
 	c.Check(m.Plan(LocalState{}, start).Leader, qt.IsTrue, qt.Commentf("alone"))
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -48,7 +48,7 @@
 }
 
 func (m *model) explore(s modelState, steps int) {
-	if m.violation != "" || m.checkInvariants(&s) {
+	if m.violation != "" || m.violatesInvariant(&s) {
 		return
 	}
 	key := s.key() + fmt.Sprint(steps)
@@ -116,9 +116,9 @@
 	return true
 }
 
-// checkInvariants records a violation if two daemons may act at once, or if a daemon's
+// violatesInvariant records a violation if two daemons may act at once, or if a daemon's
 // fencing number is below one that was held before.
-func (m *model) checkInvariants(s *modelState) bool {
+func (m *model) violatesInvariant(s *modelState) bool {
 	holders := 0
 	for i := range s.trackers {
 		fence, holds := s.trackers[i].Holds(s.now)
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -145,11 +145,11 @@
 // SetDaemons replaces the known daemons by those in the VM list as of a revision.
 func (m *Mesh) SetDaemons(daemons []vmlist.VM, revision int64) {
 	m.replaceDaemons(daemons)
-	m.noteRevision(daemons, revision)
+	m.recordRevision(daemons, revision)
 	m.adoptOrphanedCopies()
 }
 
-func (m *Mesh) noteRevision(daemons []vmlist.VM, revision int64) {
+func (m *Mesh) recordRevision(daemons []vmlist.VM, revision int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.daemonsListed = true
