--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -156,7 +156,8 @@
 	return !p.LastHeardAt.IsZero() && p.CountingFor+now.Sub(p.LastHeardAt) < sendUsesFor
 }
 
-// lacksUses reports whether uses covers a longer time than the peer has counted.
+// lacksUses reports whether the peer may lack recent usage and uses covers a longer time
+// than the peer has counted.
 func (p *Peer) lacksUses(uses *gossippb.Uses, now time.Time) bool {
 	covered := time.Duration(uses.GetKnownMs()) * time.Millisecond
 	return uses != nil && p.mayLackUses(now) && covered > p.CountingFor+now.Sub(p.LastHeardAt)
--- a/internal/gossip/members_test.go
+++ b/internal/gossip/members_test.go
@@ -146,7 +146,7 @@
 func TestMessagesGrowLinearlyWithTheZone(t *testing.T) {
 	c := qt.New(t)
 	const daemons = 60
-	messages, leads := 0, 0
+	messages, leaders := 0, 0
 	for i := range daemons {
 		vm := vmName(i)
 		m := NewMembers(Identity{VM: vm, Zone: "z", Address: vm}, nil)
@@ -155,14 +155,14 @@
 		}
 		plan := m.Plan(LocalState{}, start)
 		if plan.Leader {
-			leads++
+			leaders++
 		}
 		messages += len(plan.ZonePeers)
 		if !plan.Relay {
 			messages += len(plan.ReportTo)
 		}
 	}
-	c.Check(leads, qt.Equals, 1)
+	c.Check(leaders, qt.Equals, 1)
 	c.Check(messages <= 4*daemons, qt.IsTrue, qt.Commentf("%d messages", messages))
 }
 
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -116,8 +116,8 @@
 	return true
 }
 
-// violatesInvariant records a violation if two daemons may act at once, or if a daemon's
-// fencing number is below one that was held before.
+// violatesInvariant reports whether a state violates an invariant, and records which: two
+// daemons may act at once, or a daemon's fencing number is below one that was held before.
 func (m *model) violatesInvariant(s *modelState) bool {
 	holders := 0
 	for i := range s.trackers {
