--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -18,35 +18,35 @@
 	Limit *float64
 	// Leaving is set where the server announces that it leaves.
 	Leaving bool
-	// Rest is the Retry-After of a server that declined the request: for so long it wants no other
+	// RetryAfter is the Retry-After of a server that declined the request: for so long it wants no other
 	// from this daemon. Zero is none.
-	Rest time.Duration
-	// LimitErr and RestErr are set where a limit or a rest cannot be read: then none is named.
-	LimitErr, RestErr error
+	RetryAfter time.Duration
+	// LimitError and RetryAfterError are set where a limit or a rest cannot be read: then none is named.
+	LimitError, RetryAfterError error
 }
 
-// Names are those of the headers that carry advice, and Retry-After beside them.
-type Names struct{ Limit, Leaving string }
+// HeaderNames are those of the headers that carry advice, and Retry-After beside them.
+type HeaderNames struct{ Limit, Leaving string }
 
-// ownNames are those of the product's own interface to servers.
-var ownNames = Names{Limit: "Plankridge-Limit", Leaving: "Plankridge-Leaving"}
+// ownHeaders are those of the product's own interface to servers.
+var ownHeaders = HeaderNames{Limit: "Plankridge-Limit", Leaving: "Plankridge-Leaving"}
 
 // FromHeader decodes a response at the product's own interface. declined is set where the server did
 // not run the request.
-func FromHeader(header http.Header, declined bool) Advice { return Read(header, ownNames, declined) }
+func FromHeader(header http.Header, declined bool) Advice { return Parse(header, ownHeaders, declined) }
 
-// Read decodes a response by the names of its headers. Retry-After counts only where the server
+// Parse decodes a response by the names of its headers. Retry-After counts only where the server
 // declined the request; otherwise it is part of the service's answer.
-func Read(header http.Header, names Names, declined bool) Advice {
+func Parse(header http.Header, names HeaderNames, declined bool) Advice {
 	a := Advice{Leaving: strings.TrimSpace(header.Get(names.Leaving)) == leavingValue}
 	if texts := header.Values(names.Limit); len(texts) > 0 {
 		rate, err := ParseLimit(texts[0])
-		if a.LimitErr = err; err == nil {
+		if a.LimitError = err; err == nil {
 			a.Limit = &rate
 		}
 	}
 	if text := header.Get("Retry-After"); declined && text != "" {
-		a.Rest, a.RestErr = ParseRest(text)
+		a.RetryAfter, a.RetryAfterError = ParseRetryAfter(text)
 	}
 	return a
 }
@@ -54,38 +54,38 @@
 // leavingValue is the header's value for a server that leaves.
 const leavingValue = "1"
 
-// maxRest bounds a rest: longer ones are taken for a mistake of the server.
-const maxRest = time.Hour
+// maxRetryAfter bounds a rest: longer ones are taken for a mistake of the server.
+const maxRetryAfter = time.Hour
 
-// ParseRest reads a rest in seconds, which may have a fraction.
-func ParseRest(text string) (time.Duration, error) {
+// ParseRetryAfter reads a rest in seconds, which may have a fraction.
+func ParseRetryAfter(text string) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-	if err != nil || !Valid(seconds) {
+	if err != nil || !ValidNumber(seconds) {
 		return 0, fmt.Errorf("rest %q is no number of seconds", text)
 	}
-	return time.Duration(min(seconds, maxRest.Seconds()) * float64(time.Second)), nil
+	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second)), nil
 }
 
 // ParseLimit reads a limit in requests a second.
 func ParseLimit(text string) (float64, error) {
 	rate, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-	if err != nil || !Valid(rate) {
+	if err != nil || !ValidNumber(rate) {
 		return 0, fmt.Errorf("limit %q is no number of requests a second", text)
 	}
 	return rate, nil
 }
 
-// Valid reports whether a server can name a number, of requests a second or of seconds.
-func Valid(number float64) bool { return number >= 0 && !math.IsInf(number, 0) }
+// ValidNumber reports whether a server can name a number, of requests a second or of seconds.
+func ValidNumber(number float64) bool { return number >= 0 && !math.IsInf(number, 0) }
 
 // Limit is the latest that is known of a server's limit.
 type Limit struct {
 	// Rate is in requests a second. It counts only where Named is set.
-	Rate  float64
-	Named bool
-	// At is when an answer that named the limit came or, for one without, when its request was
+	Rate    float64
+	Limited bool
+	// ObservedAt is when an answer that named the limit came or, for one without, when its request was
 	// sent. A later one replaces an earlier one.
-	At time.Time
+	ObservedAt time.Time
 }
 
 // Observe merges an answer to a request that was sent and answered at these times. An answer
@@ -93,29 +93,29 @@
 // may overtake each other.
 func (l Limit) Observe(a Advice, sent, answered time.Time) Limit {
 	switch {
-	case a.LimitErr != nil:
+	case a.LimitError != nil:
 		return l
 	case a.Limit != nil:
-		return l.Merge(Limit{Rate: *a.Limit, Named: true, At: answered})
+		return l.Merge(Limit{Rate: *a.Limit, Limited: true, ObservedAt: answered})
 	}
-	return l.Merge(Limit{At: sent})
+	return l.Merge(Limit{ObservedAt: sent})
 }
 
 // Merge returns the later of two.
 func (l Limit) Merge(other Limit) Limit {
-	if other.At.After(l.At) {
+	if other.ObservedAt.After(l.ObservedAt) {
 		return other
 	}
 	return l
 }
 
-// Same reports whether two limits allow the same.
-func (l Limit) Same(other Limit) bool {
-	return l.Named == other.Named && (!l.Named || l.Rate == other.Rate)
+// Equivalent reports whether two limits allow the same.
+func (l Limit) Equivalent(other Limit) bool {
+	return l.Limited == other.Limited && (!l.Limited || l.Rate == other.Rate)
 }
 
-// Record is what daemons report to each other of a server's limit.
-type Record struct {
+// LimitRecord is what daemons report to each other of a server's limit.
+type LimitRecord struct {
 	// Server is the key of one incarnation of a server.
 	Server uint32
 	Limit
@@ -125,6 +125,6 @@
 type LeavingNotice struct {
 	// Server is the key of one incarnation of a server.
 	Server uint32
-	// At is when the first response with the announcement was received.
-	At time.Time
+	// ReceivedAt is when the first response with the announcement was received.
+	ReceivedAt time.Time
 }
--- a/internal/advice/advice_test.go
+++ b/internal/advice/advice_test.go
@@ -12,7 +12,7 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func naming(rate float64) Advice { return Advice{Limit: &rate} }
+func adviceWithLimit(rate float64) Advice { return Advice{Limit: &rate} }
 
 func TestParseLimit(t *testing.T) {
 	for text, want := range map[string]float64{"1.2": 1.2, " 4 ": 4, "0": 0, "1e2": 100} {
@@ -26,57 +26,57 @@
 	}
 }
 
-func TestLimitFollowsTheLatestAnswer(t *testing.T) {
+func TestLatestResponseSetsTheLimit(t *testing.T) {
 	c := qt.New(t)
 	var l Limit
 	l = l.Observe(Advice{}, at(0), at(80))
-	c.Check(l.Named, qt.IsFalse)
-	l = l.Observe(naming(2), at(100), at(180))
-	c.Check(l, qt.Equals, Limit{Rate: 2, Named: true, At: at(180)})
-	l = l.Observe(naming(1), at(150), at(230))
+	c.Check(l.Limited, qt.IsFalse)
+	l = l.Observe(adviceWithLimit(2), at(100), at(180))
+	c.Check(l, qt.Equals, Limit{Rate: 2, Limited: true, ObservedAt: at(180)})
+	l = l.Observe(adviceWithLimit(1), at(150), at(230))
 	c.Check(l.Rate, qt.Equals, 1.0)
 	l = l.Observe(Advice{}, at(240), at(320))
-	c.Check(l.Named, qt.IsFalse)
+	c.Check(l.Limited, qt.IsFalse)
 }
 
-func TestAnswerThatWasOvertakenEndsNoLimit(t *testing.T) {
+func TestOlderResponseDoesNotEndLimit(t *testing.T) {
 	c := qt.New(t)
-	l := Limit{}.Observe(naming(2), at(100), at(180))
-	c.Check(l.Observe(Advice{}, at(179), at(400)).Named, qt.IsTrue)
-	c.Check(l.Observe(naming(5), at(50), at(170)).Rate, qt.Equals, 2.0)
+	l := Limit{}.Observe(adviceWithLimit(2), at(100), at(180))
+	c.Check(l.Observe(Advice{}, at(179), at(400)).Limited, qt.IsTrue)
+	c.Check(l.Observe(adviceWithLimit(5), at(50), at(170)).Rate, qt.Equals, 2.0)
 }
 
-func TestUnreadableLimitChangesNothing(t *testing.T) {
+func TestInvalidLimitChangesNothing(t *testing.T) {
 	c := qt.New(t)
 	_, err := ParseLimit("many")
-	unreadable := Advice{LimitErr: err}
+	unreadable := Advice{LimitError: err}
 	c.Check(Limit{}.Observe(unreadable, at(0), at(10)), qt.Equals, Limit{})
-	l := Limit{}.Observe(naming(2), at(100), at(180))
+	l := Limit{}.Observe(adviceWithLimit(2), at(100), at(180))
 	c.Check(l.Observe(unreadable, at(200), at(280)), qt.Equals, l)
 }
 
-func TestParseRest(t *testing.T) {
-	for text, want := range map[string]time.Duration{"3": 3 * time.Second, "0.25": 250 * time.Millisecond, "0": 0, "1e9": maxRest} {
-		rest, err := ParseRest(text)
+func TestParseRetryAfter(t *testing.T) {
+	for text, want := range map[string]time.Duration{"3": 3 * time.Second, "0.25": 250 * time.Millisecond, "0": 0, "1e9": maxRetryAfter} {
+		rest, err := ParseRetryAfter(text)
 		qt.Check(t, err, qt.IsNil)
 		qt.Check(t, rest, qt.Equals, want)
 	}
 	for _, text := range []string{"", "soon", "-1", "NaN", "Inf"} {
-		_, err := ParseRest(text)
+		_, err := ParseRetryAfter(text)
 		qt.Check(t, err, qt.ErrorMatches, `rest ".*" is no number of seconds`)
 	}
 }
 
-func TestReadAdvice(t *testing.T) {
+func TestFromHeader(t *testing.T) {
 	c := qt.New(t)
 	header := http.Header{}
 	c.Check(FromHeader(header, true), qt.Equals, Advice{})
 	header.Set("Plankridge-Leaving", "1")
 	header.Set("Retry-After", "3")
-	c.Check(FromHeader(header, true), qt.Equals, Advice{Leaving: true, Rest: 3 * time.Second})
-	c.Check(FromHeader(header, false).Rest, qt.Equals, time.Duration(0), qt.Commentf("the answer of a service that ran"))
+	c.Check(FromHeader(header, true), qt.Equals, Advice{Leaving: true, RetryAfter: 3 * time.Second})
+	c.Check(FromHeader(header, false).RetryAfter, qt.Equals, time.Duration(0), qt.Commentf("the answer of a service that ran"))
 	header.Set("Plankridge-Limit", "many")
-	c.Check(FromHeader(header, false).LimitErr, qt.IsNotNil)
+	c.Check(FromHeader(header, false).LimitError, qt.IsNotNil)
 	header.Set("Plankridge-Limit", "2.5")
 	c.Check(*FromHeader(header, false).Limit, qt.Equals, 2.5)
 }
--- a/internal/backend/cache.go
+++ b/internal/backend/cache.go
@@ -9,8 +9,8 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Part is a part of a prompt that several requests may share.
-type Part struct {
+// PromptPart is a part of a prompt that several requests may share.
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
@@ -24,9 +24,9 @@
 }
 
 const (
-	// maxParts bounds the number of parts that are remembered for one engine;
+	// maxCachedParts bounds the number of parts that are remembered for one engine;
 	// at 500 tokens a part that is more than an engine holds.
-	maxParts = 1024
+	maxCachedParts = 1024
 	// cacheShare is the share of an engine's memory taken to hold cached parts;
 	// running requests hold the rest.
 	cacheShare = 0.7
@@ -35,12 +35,12 @@
 func newPromptCache(capacityTokens int) *promptCache {
 	c := &promptCache{limit: int(cacheShare * float64(capacityTokens))}
 	// simplelru fails only for a size that is not positive.
-	c.parts, _ = simplelru.NewLRU(maxParts, func(_ string, tokens int) { c.tokens -= tokens })
+	c.parts, _ = simplelru.NewLRU(maxCachedParts, func(_ string, tokens int) { c.tokens -= tokens })
 	return c
 }
 
 // add notes that the engine has read the parts of a prompt.
-func (c *promptCache) add(parts []Part) {
+func (c *promptCache) add(parts []PromptPart) {
 	for _, p := range parts {
 		if _, known := c.parts.Get(p.ID); known {
 			continue
@@ -54,7 +54,7 @@
 }
 
 // prefix returns the tokens of the leading parts that are cached.
-func (c *promptCache) prefix(parts []Part) int {
+func (c *promptCache) prefix(parts []PromptPart) int {
 	tokens := 0
 	for _, p := range parts {
 		if !c.parts.Contains(p.ID) {
@@ -65,9 +65,9 @@
 	return tokens
 }
 
-// homeKey is the part that decides where a prompt is best sent: the last one
+// homePartID is the part that decides where a prompt is best sent: the last one
 // that other requests share.
-func homeKey(parts []Part) string {
+func homePartID(parts []PromptPart) string {
 	switch len(parts) {
 	case 0:
 		return ""
@@ -78,7 +78,7 @@
 }
 
 // sharedTokens counts the tokens of the parts that other requests share.
-func sharedTokens(parts []Part) int {
+func sharedTokens(parts []PromptPart) int {
 	tokens := 0
 	for i := 0; i < len(parts)-1; i++ {
 		tokens += parts[i].Tokens
@@ -86,21 +86,21 @@
 	return tokens
 }
 
-// home returns the server that all daemons take for the home of a key, by
+// homeServer returns the server that all daemons take for the home of a key, by
 // rendezvous hashing over the servers in service: no talk is needed, and a
 // server that comes or goes moves only its own keys.
-func home(key string, servers []*server) *server {
+func homeServer(key string, servers []*server) *server {
 	if key == "" || len(servers) == 0 {
 		return nil
 	}
 	keyHash := xxhash.Sum64String(key)
 	return slices.MaxFunc(servers, func(a, b *server) int {
-		return cmp.Compare(a.weight(keyHash), b.weight(keyHash))
+		return cmp.Compare(a.rendezvousWeight(keyHash), b.rendezvousWeight(keyHash))
 	})
 }
 
-// weight ranks the server as a home of a key, by the hash of the key.
-func (s *server) weight(keyHash uint64) uint64 {
+// rendezvousWeight ranks the server as a home of a key, by the hash of the key.
+func (s *server) rendezvousWeight(keyHash uint64) uint64 {
 	var both [16]byte
 	binary.LittleEndian.PutUint64(both[:8], keyHash)
 	binary.LittleEndian.PutUint64(both[8:], s.idHash)
--- a/internal/backend/choice_bench_test.go
+++ b/internal/backend/choice_bench_test.go
@@ -21,7 +21,7 @@
 			v.Replace(entries, Observed(now))
 			b.ReportAllocs()
 			for i := range b.N {
-				need := Need{Service: "s", Zone: "z1", Tokens: 3000, Parts: []Part{{ID: "a", Tokens: 1000}, {ID: fmt.Sprintf("p%d", i%500), Tokens: 2000}}, Draw: uint64(i)}
+				need := Need{Service: "s", Zone: "z1", PromptTokens: 3000, Parts: []PromptPart{{ID: "a", Tokens: 1000}, {ID: fmt.Sprintf("p%d", i%500), Tokens: 2000}}, SampleSeed: uint64(i)}
 				choice, ok := v.Begin(need, now)
 				if !ok {
 					b.Fatal("no server")
--- a/internal/backend/incarnation.go
+++ b/internal/backend/incarnation.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// emptyFor is how long a server that has started again is not taken for the home of prompts
+// emptyCachePeriod is how long a server that has started again is not taken for the home of prompts
 // that it was before: it keeps nothing, and the daemons send it their shared parts anew one
 // by one.
-const emptyFor = 3 * time.Second
+const emptyCachePeriod = 3 * time.Second
 
-// outdates reports whether an entry is from before what is known of the server: from an
+// supersedes reports whether an entry is from before what is known of the server: from an
 // earlier incarnation, or an older word of the same. A write to the store may be carried
 // out seconds after the server that sent it has died.
-func (s *server) outdates(e Entry) bool {
-	if s.BornMs == 0 || e.BornMs == 0 {
+func (s *server) supersedes(e Entry) bool {
+	if s.StartTimeMs == 0 || e.StartTimeMs == 0 {
 		return false
 	}
-	return e.BornMs < s.BornMs || (e.BornMs == s.BornMs && e.Sequence < s.Sequence)
+	return e.StartTimeMs < s.StartTimeMs || (e.StartTimeMs == s.StartTimeMs && e.Sequence < s.Sequence)
 }
 
-// startedAgain reports whether an entry is from a later incarnation than the one known.
-func (s *server) startedAgain(e Entry) bool { return s.BornMs != 0 && e.BornMs > s.BornMs }
+// isRestart reports whether an entry is from a later incarnation than the one known.
+func (s *server) isRestart(e Entry) bool { return s.StartTimeMs != 0 && e.StartTimeMs > s.StartTimeMs }
 
-// end lets go of an incarnation that is no more: its attempts learn of it. The caller holds
+// abandonAttempts lets go of an incarnation that is no more: its attempts learn of it. The caller holds
 // the lock of the view.
-func (s *server) end() {
+func (s *server) abandonAttempts() {
 	for choice := range s.attempts {
 		if choice.onRestart != nil {
 			choice.onRestart()
--- a/internal/backend/incarnation_test.go
+++ b/internal/backend/incarnation_test.go
@@ -7,10 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// bornAt is an entry of an incarnation.
-func bornAt(id string, bornMs, sequence int64) Entry {
+// entryAt is an entry of an incarnation.
+func entryAt(id string, bornMs, sequence int64) Entry {
 	e := entry(id, "z-"+id)
-	e.BornMs, e.Sequence = bornMs, sequence
+	e.StartTimeMs, e.Sequence = bornMs, sequence
 	return e
 }
 
@@ -19,15 +19,15 @@
 	c := qt.New(t)
 	v := NewView()
 	v.SetTraits(map[string]Traits{"s": {CacheTokens: 100_000, EventTokens: 3}})
-	v.Put(bornAt("a", 1000, 7), start)
-	parts := []Part{{ID: "shared", Tokens: 3000}, {ID: "own", Tokens: 100}}
-	need := Need{Service: "s", Zone: "z-a", Target: time.Second, Tokens: 3100, Parts: parts}
+	v.Put(entryAt("a", 1000, 7), start)
+	parts := []PromptPart{{ID: "shared", Tokens: 3000}, {ID: "own", Tokens: 100}}
+	need := Need{Service: "s", Zone: "z-a", Target: time.Second, PromptTokens: 3100, Parts: parts}
 
 	choice, _ := v.Begin(need, start)
-	choice.Event(start.Add(100 * time.Millisecond))
+	choice.RecordEvent(start.Add(100 * time.Millisecond))
 	running, _ := v.Begin(need, start.Add(time.Second))
-	c.Check(running.Unread, qt.Equals, 0, qt.Commentf("the prompt is kept there"))
-	v.SetRemote(map[uint32]Load{KeyOf(choice.Entry): {Running: 3, PendingTokens: 9000}}, start.Add(time.Second))
+	c.Check(running.PrefillTokens, qt.Equals, 0, qt.Commentf("the prompt is kept there"))
+	v.SetPeerLoads(map[uint32]Load{KeyOf(choice.Entry): {Running: 3, PendingTokens: 9000}}, start.Add(time.Second))
 	for range 4 {
 		failing, _ := v.Begin(need, start.Add(time.Second))
 		failing.End(OutcomeFailed, start.Add(time.Second))
@@ -36,17 +36,17 @@
 	running.OnRestart(func() { told++ })
 
 	again := start.Add(1100 * time.Millisecond)
-	ended := v.Put(bornAt("a", 2000, 1), again)
+	ended := v.Put(entryAt("a", 2000, 1), again)
 	c.Assert(ended, qt.HasLen, 1)
-	c.Check(ended[0].BornMs, qt.Equals, int64(1000))
+	c.Check(ended[0].StartTimeMs, qt.Equals, int64(1000))
 	c.Check(told, qt.Equals, 1)
 	status := v.Servers(again)[0]
 	c.Check(status.Load, qt.Equals, Load{}, qt.Commentf("neither own attempts nor what others told"))
 	c.Check(status.Suspect, qt.IsFalse)
-	v.SetRemote(map[uint32]Load{KeyOf(choice.Entry): {Running: 3}}, again)
+	v.SetPeerLoads(map[uint32]Load{KeyOf(choice.Entry): {Running: 3}}, again)
 	c.Check(v.Servers(again)[0].Running, qt.Equals, 0, qt.Commentf("others tell of the earlier incarnation"))
 	fresh, _ := v.Begin(need, again)
-	c.Check(fresh.Unread, qt.Equals, 3100, qt.Commentf("it keeps nothing"))
+	c.Check(fresh.PrefillTokens, qt.Equals, 3100, qt.Commentf("it keeps nothing"))
 	// Attempts at the earlier incarnation end without touching the new one.
 	running.End(OutcomeFailed, again)
 	choice.End(OutcomeServed, again)
@@ -62,15 +62,15 @@
 	draining := func(e Entry) Entry { e.Draining = true; return e }
 	moved := func(e Entry) Entry { e.Address = "elsewhere:80"; return e }
 	for name, older := range map[string]Entry{
-		"earlier incarnation":                   moved(bornAt("a", 1000, 99)),
-		"earlier incarnation drains":            draining(bornAt("a", 1000, 99)),
-		"same incarnation, lower sequence":      moved(bornAt("a", 2000, 4)),
-		"same incarnation, lower, that drained": draining(bornAt("a", 2000, 4)),
+		"earlier incarnation":                   moved(entryAt("a", 1000, 99)),
+		"earlier incarnation drains":            draining(entryAt("a", 1000, 99)),
+		"same incarnation, lower sequence":      moved(entryAt("a", 2000, 4)),
+		"same incarnation, lower, that drained": draining(entryAt("a", 2000, 4)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			v := NewView()
-			v.Put(bornAt("a", 2000, 5), start)
+			v.Put(entryAt("a", 2000, 5), start)
 			c.Check(v.Put(older, start), qt.HasLen, 0)
 			got := v.Servers(start)[0]
 			c.Check(got.Address, qt.Equals, "a:80")
@@ -89,18 +89,18 @@
 func TestRestartThatNobodySaw(t *testing.T) {
 	c := qt.New(t)
 	v := NewView()
-	v.Replace([]Entry{bornAt("a", 1000, 5), bornAt("b", 1000, 5)}, Observed(start))
+	v.Replace([]Entry{entryAt("a", 1000, 5), entryAt("b", 1000, 5)}, Observed(start))
 	choice, _ := v.Begin(Need{Service: "s", Zone: "z-a"}, start)
 	told := false
 	choice.OnRestart(func() { told = true })
-	ended := v.Replace([]Entry{bornAt("a", 1500, 1), bornAt("b", 1000, 6)}, Observed(start.Add(time.Minute)))
+	ended := v.Replace([]Entry{entryAt("a", 1500, 1), entryAt("b", 1000, 6)}, Observed(start.Add(time.Minute)))
 	c.Check(ended, qt.HasLen, 1)
 	c.Check(told, qt.IsTrue)
 	// Within one heartbeat, draining before and after.
-	drains := bornAt("b", 1000, 7)
+	drains := entryAt("b", 1000, 7)
 	drains.Draining = true
 	v.Put(drains, start.Add(time.Minute))
-	c.Check(v.Put(bornAt("b", 1001, 1), start.Add(time.Minute)), qt.HasLen, 1)
+	c.Check(v.Put(entryAt("b", 1001, 1), start.Add(time.Minute)), qt.HasLen, 1)
 	c.Check(v.Servers(start.Add(time.Minute))[1].Ready, qt.IsTrue)
 }
 
@@ -110,9 +110,9 @@
 	c := qt.New(t)
 	v := NewView()
 	ahead := start.Add(time.Hour).UnixMilli()
-	v.Put(bornAt("a", ahead, 5), start)
-	c.Check(v.Put(bornAt("a", ahead, 6), start.Add(-time.Hour)), qt.HasLen, 0)
-	c.Check(v.Put(bornAt("a", ahead, 7), start.Add(2*time.Hour)), qt.HasLen, 0)
+	v.Put(entryAt("a", ahead, 5), start)
+	c.Check(v.Put(entryAt("a", ahead, 6), start.Add(-time.Hour)), qt.HasLen, 0)
+	c.Check(v.Put(entryAt("a", ahead, 7), start.Add(2*time.Hour)), qt.HasLen, 0)
 	c.Check(v.Servers(start)[0].Ready, qt.IsTrue)
 }
 
@@ -124,10 +124,10 @@
 	v.Put(entry("a", "z-a"), start)
 	c.Check(pick(v, start), qt.Equals, "a")
 	// One that tells it, of another writer or the first of a new kind, takes none away.
-	v.Put(bornAt("b", 1000, 1), start)
+	v.Put(entryAt("b", 1000, 1), start)
 	c.Check(pick(v, start), qt.Equals, "a")
-	v.Put(bornAt("c", 1000, 1), start)
-	v.Put(bornAt("d", 1000, 1), start)
+	v.Put(entryAt("c", 1000, 1), start)
+	v.Put(entryAt("d", 1000, 1), start)
 	c.Check(pick(v, start), qt.Not(qt.Equals), "a")
 	v.Remove("b", start)
 	c.Check(pick(v, start), qt.Equals, "a")
--- a/internal/backend/leaving.go
+++ b/internal/backend/leaving.go
@@ -12,10 +12,10 @@
 	defaultDrainBound = 2 * time.Second
 	// maxTransit bounds the time from the last check of a server to the arrival of the request.
 	maxTransit = 150 * time.Millisecond
-	// afterOutage is how long an entry that lapsed during an outage of the
+	// outageGrace is how long an entry that lapsed during an outage of the
 	// store is still used after the store's return: live servers are back
 	// within about two seconds.
-	afterOutage = 2200 * time.Millisecond
+	outageGrace = 2200 * time.Millisecond
 )
 
 // Observation is when this daemon received a change of the servers, and the earliest time at which
@@ -44,13 +44,13 @@
 	return seen.NotBefore.Add(v.drainBound - maxTransit)
 }
 
-// lapse marks a server whose entry is gone.
-func (v *View) lapse(s *server, seen Observation) {
+// removeEntry marks a server whose entry is gone.
+func (v *View) removeEntry(s *server, seen Observation) {
 	clear(v.inService)
 	s.listed = false
 	until := v.usableUntil(seen)
 	// It may have lapsed during the outage if it was not seen since.
-	if grace := v.outageEnd.Add(afterOutage); !s.Draining && !seen.NotBefore.After(v.outageEnd) && grace.After(until) {
+	if grace := v.outageEnd.Add(outageGrace); !s.Draining && !seen.NotBefore.After(v.outageEnd) && grace.After(until) {
 		until = grace
 	}
 	s.leave(seen.ReceivedAt, until)
@@ -92,10 +92,10 @@
 	var notices []advice.LeavingNotice
 	for _, s := range v.servers {
 		if !s.leavingAnnouncedAt.IsZero() && now.Sub(s.leavingAnnouncedAt) < leavingNoticeTTL {
-			notices = append(notices, advice.LeavingNotice{Server: s.key, At: s.leavingAnnouncedAt})
+			notices = append(notices, advice.LeavingNotice{Server: s.key, ReceivedAt: s.leavingAnnouncedAt})
 		}
 	}
-	return inTurn(notices, turn, func(n advice.LeavingNotice) uint32 { return n.Server })
+	return rotatingSubset(notices, turn, func(n advice.LeavingNotice) uint32 { return n.Server })
 }
 
 // MergeLeavingNotices merges the announcements that another daemon reports, and returns the entries of
@@ -109,10 +109,10 @@
 	known := v.byKey()
 	for _, n := range notices {
 		s := known[n.Server]
-		if s == nil || now.Sub(n.At) >= leavingNoticeTTL {
+		if s == nil || now.Sub(n.ReceivedAt) >= leavingNoticeTTL {
 			continue
 		}
-		if v.announceLeaving(s, n.At, now) {
+		if v.announceLeaving(s, n.ReceivedAt, now) {
 			s.peerReported = true
 			changed = append(changed, s.Entry)
 		}
@@ -143,8 +143,8 @@
 	if c.view.servers[c.ID] != c.server {
 		return false
 	}
-	if c.standsIn && c.server.usable(now) {
+	if c.lastResort && c.server.usable(now) {
 		return true
 	}
-	return c.server.ready() || slices.Contains(c.view.candidates(side{c.need.Service, c.Candidate}, now), c.server)
+	return c.server.ready() || slices.Contains(c.view.eligibleServers(track{c.need.Service, c.Candidate}, now), c.server)
 }
--- a/internal/backend/leaving_test.go
+++ b/internal/backend/leaving_test.go
@@ -10,20 +10,20 @@
 )
 
 // viewOfTwo returns a view of two servers, and an answer of the first that says that it leaves.
-func viewOfTwo(c *qt.C) (v *View, answer func(at time.Time) Change) {
+func viewOfTwo(c *qt.C) (v *View, answer func(at time.Time) AdviceChange) {
 	v = NewView()
-	v.Put(bornAt("a", 1000, 1), start)
-	v.Put(bornAt("b", 1000, 1), start)
-	choice, ok := v.Begin(Need{Service: "s", Zone: "z-a", Only: "a"}, start)
+	v.Put(entryAt("a", 1000, 1), start)
+	v.Put(entryAt("b", 1000, 1), start)
+	choice, ok := v.Begin(Need{Service: "s", Zone: "z-a", ServerID: "a"}, start)
 	c.Assert(ok, qt.IsTrue)
-	return v, func(at time.Time) Change { return choice.Advised(advice.Advice{Leaving: true}, at) }
+	return v, func(at time.Time) AdviceChange { return choice.ApplyAdvice(advice.Advice{Leaving: true}, at) }
 }
 
-// takeAway lets the second server drain, not as a last resort either.
-func takeAway(v *View, at time.Time) {
-	drains := bornAt("b", 1000, 9)
+// drainSecond lets the second server drain, not as a last resort either.
+func drainSecond(v *View, at time.Time) {
+	drains := entryAt("b", 1000, 9)
 	drains.Draining = true
-	v.Change([]Entry{drains}, nil, Observation{ReceivedAt: at})
+	v.Update([]Entry{drains}, nil, Observation{ReceivedAt: at})
 }
 
 // TestAnswerThatSaysLeavingStands guards against entries that bring a server back which has said in
@@ -31,27 +31,27 @@
 func TestAnswerThatSaysLeavingStands(t *testing.T) {
 	for name, happen := range map[string]func(v *View, at time.Time){
 		"nothing":        func(*View, time.Time) {},
-		"an older entry": func(v *View, at time.Time) { v.Put(bornAt("a", 1000, 0), at) },
-		"a newer entry":  func(v *View, at time.Time) { v.Put(bornAt("a", 1000, 2), at) },
+		"an older entry": func(v *View, at time.Time) { v.Put(entryAt("a", 1000, 0), at) },
+		"a newer entry":  func(v *View, at time.Time) { v.Put(entryAt("a", 1000, 2), at) },
 		"a whole list": func(v *View, at time.Time) {
-			v.Replace([]Entry{bornAt("a", 1000, 3), bornAt("b", 1000, 1)}, Observed(at))
+			v.Replace([]Entry{entryAt("a", 1000, 3), entryAt("b", 1000, 1)}, Observed(at))
 		},
-		"back after an outage": func(v *View, at time.Time) { v.Remove("a", at); v.StoreReturned(at); v.Put(bornAt("a", 1000, 4), at) },
+		"back after an outage": func(v *View, at time.Time) { v.Remove("a", at); v.StoreReturned(at); v.Put(entryAt("a", 1000, 4), at) },
 		"lapsed in an outage":  func(v *View, at time.Time) { v.StoreReturned(at); v.Remove("a", at) },
 		"an answer without it": func(v *View, at time.Time) { _ = pick(v, at) },
 		"a report that is late": func(v *View, at time.Time) {
-			v.MergeLeavingNotices([]advice.LeavingNotice{{Server: KeyOf(bornAt("a", 1000, 1)), At: at}}, at)
+			v.MergeLeavingNotices([]advice.LeavingNotice{{Server: KeyOf(entryAt("a", 1000, 1)), ReceivedAt: at}}, at)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			v, answer := viewOfTwo(c)
-			c.Check(answer(start).Leaves, qt.IsTrue)
-			c.Check(answer(start.Add(time.Second)).Leaves, qt.IsFalse)
+			c.Check(answer(start).LeavingAnnounced, qt.IsTrue)
+			c.Check(answer(start.Add(time.Second)).LeavingAnnounced, qt.IsFalse)
 			at := start.Add(time.Second)
 			happen(v, at)
 			c.Check(pick(v, at), qt.Equals, "b")
-			takeAway(v, at)
+			drainSecond(v, at)
 			c.Check(pick(v, start.Add(defaultDrainBound-maxTransit-time.Millisecond)), qt.Equals, "a", qt.Commentf("as a last resort"))
 			c.Check(pick(v, start.Add(defaultDrainBound-maxTransit)), qt.Equals, "")
 			v.Sweep(start.Add(time.Hour))
@@ -64,10 +64,10 @@
 	c := qt.New(t)
 	v, answer := viewOfTwo(c)
 	answer(start)
-	takeAway(v, start)
-	v.Put(bornAt("a", 2000, 1), start.Add(time.Second))
+	drainSecond(v, start)
+	v.Put(entryAt("a", 2000, 1), start.Add(time.Second))
 	c.Check(pick(v, start.Add(10*time.Second)), qt.Equals, "a")
-	c.Check(answer(start.Add(11*time.Second)).Leaves, qt.IsFalse, qt.Commentf("an answer of the earlier incarnation"))
+	c.Check(answer(start.Add(11*time.Second)).LeavingAnnounced, qt.IsFalse, qt.Commentf("an answer of the earlier incarnation"))
 	c.Check(pick(v, start.Add(12*time.Second)), qt.Equals, "a")
 }
 
@@ -75,11 +75,11 @@
 func TestReportsOfLeavingLapse(t *testing.T) {
 	c := qt.New(t)
 	v, _ := viewOfTwo(c)
-	told := []advice.LeavingNotice{{Server: KeyOf(bornAt("a", 1000, 1)), At: start}, {Server: 99, At: start}}
+	told := []advice.LeavingNotice{{Server: KeyOf(entryAt("a", 1000, 1)), ReceivedAt: start}, {Server: 99, ReceivedAt: start}}
 	c.Check(v.MergeLeavingNotices(told, start), qt.HasLen, 1)
 	c.Check(v.MergeLeavingNotices(told, start), qt.HasLen, 0)
 	c.Check(v.LeavingNotices(0, start), qt.HasLen, 1, qt.Commentf("reported on"))
-	takeAway(v, start)
+	drainSecond(v, start)
 	c.Check(pick(v, start.Add(defaultDrainBound)), qt.Equals, "")
 	later := start.Add(leavingNoticeTTL)
 	v.Sweep(later)
--- a/internal/backend/limits.go
+++ b/internal/backend/limits.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// liftedFor is how long a limit that has ended is reported: daemons that missed the answer
+	// liftedReportTTL is how long a limit that has ended is reported: daemons that missed the answer
 	// would keep it otherwise.
-	liftedFor = 30 * time.Second
-	// sameSighting is how much later an equal limit has to have been seen to replace a known one.
+	liftedReportTTL = 30 * time.Second
+	// minRefreshInterval is how much later an equal limit has to have been seen to replace a known one.
 	// Reports age on their way, and would refresh each other for ever.
-	sameSighting = time.Second
-	// maxRecords bounds the limits in one report; others follow in the next ones.
-	maxRecords = 64
+	minRefreshInterval = time.Second
+	// maxReportRecords bounds the limits in one report; others follow in the next ones.
+	maxReportRecords = 64
 )
 
 // Limiter shares the limits that servers name among all daemons. Servers are named by their keys.
@@ -43,56 +43,56 @@
 	v.limiter = limiter
 }
 
-// Change is the effect of a response on what is known of a server.
-type Change struct {
+// AdviceChange is the effect of a response on what is known of a server.
+type AdviceChange struct {
 	// Before and After are its limits.
 	Before, After advice.Limit
-	// Leaves is set for the first response that announces that the server leaves.
-	Leaves bool
+	// LeavingAnnounced is set for the first response that announces that the server leaves.
+	LeavingAnnounced bool
 }
 
-// Advised merges the advice in the response to an attempt.
-func (c *Choice) Advised(a advice.Advice, answered time.Time) Change {
+// ApplyAdvice merges the advice in the response to an attempt.
+func (c *Choice) ApplyAdvice(a advice.Advice, answered time.Time) AdviceChange {
 	c.view.mu.Lock()
 	defer c.view.mu.Unlock()
 	s := c.server
-	change := Change{Before: s.limit, After: s.limit.Observe(a, c.begun, answered)}
+	change := AdviceChange{Before: s.limit, After: s.limit.Observe(a, c.startedAt, answered)}
 	if c.view.servers[c.ID] != s {
 		return change
 	}
 	c.view.setLimit(s, change.After)
-	if a.Rest > 0 {
-		s.restUntil = later(s.restUntil, answered.Add(a.Rest))
+	if a.RetryAfter > 0 {
+		s.restUntil = later(s.restUntil, answered.Add(a.RetryAfter))
 	}
 	if a.Leaving {
-		change.Leaves = c.view.announceLeaving(s, answered, answered)
+		change.LeavingAnnounced = c.view.announceLeaving(s, answered, answered)
 		s.peerReported = false
 	}
 	return change
 }
 
-// NotSent gives back the part of the server's limit that the attempt took.
-func (c *Choice) NotSent() {
+// RefundAdmission gives back the part of the server's limit that the attempt took.
+func (c *Choice) RefundAdmission() {
 	c.view.mu.Lock()
 	defer c.view.mu.Unlock()
-	if c.admitted.IsZero() {
+	if c.admittedAt.IsZero() {
 		return
 	}
-	c.view.limiter.Refund(c.server.key, c.admitted)
-	c.admitted = time.Time{}
+	c.view.limiter.Refund(c.server.key, c.admittedAt)
+	c.admittedAt = time.Time{}
 }
 
 // setLimit applies a server's limit; the caller holds the lock.
 func (v *View) setLimit(s *server, limit advice.Limit) {
 	before := s.limit
 	s.limit = limit
-	if before.Named && !limit.Named {
-		s.liftedAt = limit.At
+	if before.Limited && !limit.Limited {
+		s.liftedAt = limit.ObservedAt
 	}
-	if v.limiter == nil || limit.Same(before) {
+	if v.limiter == nil || limit.Equivalent(before) {
 		return
 	}
-	if limit.Named {
+	if limit.Limited {
 		v.limiter.SetLimit(s.key, limit.Rate)
 		return
 	}
@@ -101,7 +101,7 @@
 
 // forgetLimit lets go of the limit of a server that is no more; the caller holds the lock.
 func (v *View) forgetLimit(s *server) {
-	if v.limiter != nil && (s.limit.Named || !s.liftedAt.IsZero()) {
+	if v.limiter != nil && (s.limit.Limited || !s.liftedAt.IsZero()) {
 		v.limiter.Forget(s.key)
 	}
 }
@@ -118,44 +118,44 @@
 
 // reportsLimit reports whether a server's limit, or its end, is reported to other daemons.
 func (s *server) reportsLimit(now time.Time) bool {
-	return s.limit.Named || now.Sub(s.liftedAt) < liftedFor
+	return s.limit.Limited || now.Sub(s.liftedAt) < liftedReportTTL
 }
 
 // Limits returns what to report to other daemons of the servers' limits. Where there are many,
 // turn picks those of one report.
-func (v *View) Limits(turn uint64, now time.Time) []advice.Record {
+func (v *View) Limits(turn uint64, now time.Time) []advice.LimitRecord {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	var records []advice.Record
+	var records []advice.LimitRecord
 	for _, s := range v.servers {
 		if s.reportsLimit(now) {
-			records = append(records, advice.Record{Server: s.key, Limit: s.limit})
+			records = append(records, advice.LimitRecord{Server: s.key, Limit: s.limit})
 		}
 	}
-	return inTurn(records, turn, func(r advice.Record) uint32 { return r.Server })
+	return rotatingSubset(records, turn, func(r advice.LimitRecord) uint32 { return r.Server })
 }
 
-// inTurn returns all of few records, and of many those whose turn it is.
-func inTurn[R any](records []R, turn uint64, server func(R) uint32) []R {
-	if len(records) <= maxRecords {
+// rotatingSubset returns all of few records, and of many those whose turn it is.
+func rotatingSubset[R any](records []R, turn uint64, server func(R) uint32) []R {
+	if len(records) <= maxReportRecords {
 		return records
 	}
 	slices.SortFunc(records, func(a, b R) int { return cmp.Compare(server(a), server(b)) })
-	first := int(turn * maxRecords % uint64(len(records)))
-	return append(records, records...)[first : first+maxRecords]
+	first := int(turn * maxReportRecords % uint64(len(records)))
+	return append(records, records...)[first : first+maxReportRecords]
 }
 
 // byKey returns the servers by their keys. The index is kept until one comes or goes: reports of many
 // daemons name servers. The caller holds the lock.
 func (v *View) byKey() map[uint32]*server {
-	if v.keyed != nil {
-		return v.keyed
+	if v.keyIndex != nil {
+		return v.keyIndex
 	}
-	v.keyed = make(map[uint32]*server, len(v.servers))
+	v.keyIndex = make(map[uint32]*server, len(v.servers))
 	for _, s := range v.servers {
-		v.keyed[s.key] = s
+		v.keyIndex[s.key] = s
 	}
-	return v.keyed
+	return v.keyIndex
 }
 
 // LimitedKeys returns the keys of all servers that have a limit, or had one lately.
@@ -173,7 +173,7 @@
 
 // MergeLimits merges what another daemon reports of the servers' limits, and returns the entries
 // and limits of those that have changed.
-func (v *View) MergeLimits(records []advice.Record) (changed []ServerLimit) {
+func (v *View) MergeLimits(records []advice.LimitRecord) (changed []ServerLimit) {
 	if len(records) == 0 {
 		return nil
 	}
@@ -182,11 +182,11 @@
 	known := v.byKey()
 	for _, r := range records {
 		s := known[r.Server]
-		if s == nil || r.Same(s.limit) && r.At.Before(s.limit.At.Add(sameSighting)) {
+		if s == nil || r.Equivalent(s.limit) && r.ObservedAt.Before(s.limit.ObservedAt.Add(minRefreshInterval)) {
 			continue
 		}
 		merged := s.limit.Merge(r.Limit)
-		if !merged.Same(s.limit) {
+		if !merged.Equivalent(s.limit) {
 			changed = append(changed, ServerLimit{Entry: s.Entry, Before: s.limit, Limit: merged})
 		}
 		v.setLimit(s, merged)
@@ -209,14 +209,14 @@
 			return route.Choice{}, time.Time{}, false
 		}
 		s := v.servers[picked.Server.ID]
-		if !s.limit.Named || v.limiter == nil {
+		if !s.limit.Limited || v.limiter == nil {
 			return picked, time.Time{}, true
 		}
 		admitted, retryAfter, ok := v.limiter.Admit(s.key)
 		if ok {
 			return picked, admitted, true
 		}
-		s.againAt = now.Add(retryAfter)
+		s.admissibleAt = now.Add(retryAfter)
 		exclude(offers, picked.Server.ID)
 	}
 }
@@ -230,26 +230,26 @@
 	}
 }
 
-// Again returns how long it takes until one of a service's servers may get a request, where they
+// RetryAfter returns how long it takes until one of a service's servers may get a request, where they
 // rest or are at their limits, and false where it has no server at all.
-func (v *View) Again(need Need, now time.Time) (time.Duration, bool) {
+func (v *View) RetryAfter(need Need, now time.Time) (time.Duration, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	servers, _ := v.sideOf(need, now)
+	servers, _ := v.trackServers(need, now)
 	if len(servers) == 0 {
 		return 0, false
 	}
-	first := servers[0].mayGetAt()
+	first := servers[0].availableAt()
 	for _, s := range servers[1:] {
-		if at := s.mayGetAt(); at.Before(first) {
+		if at := s.availableAt(); at.Before(first) {
 			first = at
 		}
 	}
 	return max(0, first.Sub(now)), true
 }
 
-// mayGetAt returns when a server that was passed over may get a request.
-func (s *server) mayGetAt() time.Time { return later(s.againAt, s.restUntil) }
+// availableAt returns when a server that was passed over may get a request.
+func (s *server) availableAt() time.Time { return later(s.admissibleAt, s.restUntil) }
 
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
--- a/internal/backend/limits_test.go
+++ b/internal/backend/limits_test.go
@@ -45,22 +45,22 @@
 }
 
 func named(rate float64, at time.Time) advice.Limit {
-	return advice.Limit{Rate: rate, Named: true, At: at}
+	return advice.Limit{Rate: rate, Limited: true, ObservedAt: at}
 }
 
 // report merges a peer's report on one server.
 func report(v *View, id string, limit advice.Limit) []ServerLimit {
-	return v.MergeLimits([]advice.Record{{Server: KeyOf(entry(id, "z-a")), Limit: limit}})
+	return v.MergeLimits([]advice.LimitRecord{{Server: KeyOf(entry(id, "z-a")), Limit: limit}})
 }
 
 func TestServersAtTheirLimitsArePassedOver(t *testing.T) {
 	c := qt.New(t)
 	v, limiter := limitedView("a", "b")
 	need := Need{Service: "s", Zone: "z-a"}
-	choice, _ := v.Begin(Need{Service: "s", Zone: "z-a", Only: "a"}, start)
+	choice, _ := v.Begin(Need{Service: "s", Zone: "z-a", ServerID: "a"}, start)
 	rate := 1.5
-	change := choice.Advised(advice.Advice{Limit: &rate}, start)
-	c.Check(change.Before.Named, qt.IsFalse)
+	change := choice.ApplyAdvice(advice.Advice{Limit: &rate}, start)
+	c.Check(change.Before.Limited, qt.IsFalse)
 	c.Check(change.After, qt.Equals, named(1.5, start))
 	choice.End(OutcomeServed, start)
 	c.Check(limiter.limits, qt.DeepEquals, map[uint32]float64{KeyOf(choice.Entry): 1.5})
@@ -73,8 +73,8 @@
 	limiter.left[KeyOf(choice.Entry)] = 1
 	within, _ := v.Begin(need, start)
 	c.Check(within.ID, qt.Equals, "a")
-	within.NotSent()
-	within.NotSent()
+	within.RefundAdmission()
+	within.RefundAdmission()
 	c.Check(limiter.refunds, qt.Equals, 1)
 }
 
@@ -86,10 +86,10 @@
 	report(v, "b", named(1, start))
 	_, ok := v.Begin(need, start)
 	c.Assert(ok, qt.IsFalse)
-	wait, found := v.Again(need, start)
+	wait, found := v.RetryAfter(need, start)
 	c.Check(found, qt.IsTrue)
 	c.Check(wait, qt.Equals, 700*time.Millisecond)
-	_, found = v.Again(Need{Service: "other"}, start)
+	_, found = v.RetryAfter(Need{Service: "other"}, start)
 	c.Check(found, qt.IsFalse)
 }
 
@@ -106,7 +106,7 @@
 		report(v, id, named(1, start))
 	}
 	for i := range 20 {
-		choice, ok := v.Begin(Need{Service: "s", Zone: "z-a", Draw: uint64(i), Parts: []Part{{ID: fmt.Sprint(i), Tokens: 100}}}, start)
+		choice, ok := v.Begin(Need{Service: "s", Zone: "z-a", SampleSeed: uint64(i), Parts: []PromptPart{{ID: fmt.Sprint(i), Tokens: 100}}}, start)
 		c.Assert(ok, qt.IsTrue)
 		c.Check(choice.ID, qt.Equals, ids[0])
 	}
@@ -117,31 +117,31 @@
 	v, limiter := limitedView("a")
 	c.Check(report(v, "a", named(2, start)), qt.HasLen, 1)
 	c.Check(report(v, "a", named(2, start.Add(500*time.Millisecond))), qt.HasLen, 0)
-	c.Check(v.Limits(0, start)[0].At, qt.Equals, start, qt.Commentf("an equal limit is not refreshed by each report"))
-	c.Check(report(v, "a", advice.Limit{At: start.Add(-time.Second)}), qt.HasLen, 0, qt.Commentf("an older report ends nothing"))
+	c.Check(v.Limits(0, start)[0].ObservedAt, qt.Equals, start, qt.Commentf("an equal limit is not refreshed by each report"))
+	c.Check(report(v, "a", advice.Limit{ObservedAt: start.Add(-time.Second)}), qt.HasLen, 0, qt.Commentf("an older report ends nothing"))
 	c.Check(report(v, "unknown", named(2, start)), qt.HasLen, 0)
-	c.Check(report(v, "a", advice.Limit{At: start.Add(time.Second)}), qt.HasLen, 1)
+	c.Check(report(v, "a", advice.Limit{ObservedAt: start.Add(time.Second)}), qt.HasLen, 1)
 	c.Check(limiter.limits, qt.HasLen, 0)
 	c.Check(v.Limits(0, start.Add(2*time.Second)), qt.HasLen, 1, qt.Commentf("that it has ended is reported"))
-	c.Check(v.Limits(0, start.Add(liftedFor+2*time.Second)), qt.HasLen, 0)
+	c.Check(v.Limits(0, start.Add(liftedReportTTL+2*time.Second)), qt.HasLen, 0)
 }
 
 func TestRestartedServerHasNoLimit(t *testing.T) {
 	c := qt.New(t)
 	v, limiter := limitedView()
-	v.Put(bornAt("a", 1000, 1), start)
+	v.Put(entryAt("a", 1000, 1), start)
 	choice, _ := v.Begin(Need{Service: "s", Zone: "z-a"}, start)
 	rate := 2.0
-	choice.Advised(advice.Advice{Limit: &rate}, start)
+	choice.ApplyAdvice(advice.Advice{Limit: &rate}, start)
 	c.Check(limiter.limits, qt.HasLen, 1)
-	v.Put(bornAt("a", 2000, 1), start)
+	v.Put(entryAt("a", 2000, 1), start)
 	c.Check(limiter.limits, qt.HasLen, 0)
-	choice.Advised(advice.Advice{Limit: &rate}, start.Add(time.Second))
+	choice.ApplyAdvice(advice.Advice{Limit: &rate}, start.Add(time.Second))
 	c.Check(limiter.limits, qt.HasLen, 0, qt.Commentf("the answer is of the earlier incarnation"))
-	c.Check(v.Servers(start)[0].Limit.Named, qt.IsFalse)
+	c.Check(v.Servers(start)[0].Limit.Limited, qt.IsFalse)
 }
 
-func TestReportsOfManyLimitsTakeTurns(t *testing.T) {
+func TestReportsRotateThroughManyLimits(t *testing.T) {
 	c := qt.New(t)
 	var ids []string
 	for i := range 150 {
@@ -154,7 +154,7 @@
 	seen := map[uint32]bool{}
 	for turn := range uint64(3) {
 		records := v.Limits(turn, start)
-		c.Check(records, qt.HasLen, maxRecords)
+		c.Check(records, qt.HasLen, maxReportRecords)
 		for _, r := range records {
 			seen[r.Server] = true
 		}
@@ -162,16 +162,16 @@
 	c.Check(seen, qt.HasLen, 150)
 }
 
-func TestServersThatRestArePassedOver(t *testing.T) {
+func TestRestingServersAreSkipped(t *testing.T) {
 	c := qt.New(t)
 	v, _ := limitedView("a", "b")
 	need := Need{Service: "s", Zone: "z-a"}
 	decline := func(id string, rest time.Duration) {
 		only := need
-		only.Only = id
+		only.ServerID = id
 		choice, ok := v.Begin(only, start)
 		c.Assert(ok, qt.IsTrue)
-		choice.Advised(advice.Advice{Rest: rest}, start)
+		choice.ApplyAdvice(advice.Advice{RetryAfter: rest}, start)
 		choice.End(OutcomeFull, start)
 	}
 	decline("a", 3*time.Second)
@@ -181,7 +181,7 @@
 	decline("b", time.Second)
 	_, ok := v.Begin(need, start)
 	c.Check(ok, qt.IsFalse)
-	wait, found := v.Again(need, start)
+	wait, found := v.RetryAfter(need, start)
 	c.Check(found, qt.IsTrue)
 	c.Check(wait, qt.Equals, time.Second)
 	c.Check(pick(v, start.Add(time.Second)), qt.Equals, "b")
@@ -189,11 +189,11 @@
 	c.Check(pick(v, start.Add(3*time.Second)), qt.Equals, "a", qt.Commentf("used again at once"))
 }
 
-func TestLeavingServerStandsInForThoseThatRest(t *testing.T) {
+func TestLeavingServerIsUsedWhileOthersRest(t *testing.T) {
 	c := qt.New(t)
 	v, _ := limitedView("a", "b")
-	choice, _ := v.Begin(Need{Service: "s", Zone: "z-a", Only: "a"}, start)
-	choice.Advised(advice.Advice{Rest: 3 * time.Second}, start)
+	choice, _ := v.Begin(Need{Service: "s", Zone: "z-a", ServerID: "a"}, start)
+	choice.ApplyAdvice(advice.Advice{RetryAfter: 3 * time.Second}, start)
 	v.Remove("b", start)
 	standIn, ok := v.Begin(Need{Service: "s", Zone: "z-a"}, start)
 	c.Assert(ok, qt.IsTrue)
@@ -202,7 +202,7 @@
 	c.Check(standIn.MaySend(start.Add(defaultDrainBound)), qt.IsFalse)
 }
 
-func TestCandidatesThatRestAreNotWaitedFor(t *testing.T) {
+func TestRestingCandidatesAreNotWaitedFor(t *testing.T) {
 	c := qt.New(t)
 	v, _ := limitedView()
 	for id, version := range map[string]string{"a": "v1", "c": "v2"} {
@@ -210,13 +210,13 @@
 		e.Version = version
 		v.Put(e, start)
 	}
-	v.SetVersions("s", Versions{Checked: true, Stable: "v1", Candidate: "v2"})
+	v.SetVersions("s", Versions{Enforced: true, Stable: "v1", Candidate: "v2"})
 	need := Need{Service: "s", Zone: "z-a", Candidate: true}
 	choice, ok := v.Begin(need, start)
 	c.Assert(ok, qt.IsTrue)
 	c.Check(choice.ID, qt.Equals, "c")
 	report(v, "c", named(0, start))
-	choice.Advised(advice.Advice{Rest: time.Second}, start)
+	choice.ApplyAdvice(advice.Advice{RetryAfter: time.Second}, start)
 	choice, ok = v.Begin(need, start)
 	c.Assert(ok, qt.IsTrue)
 	c.Check(choice.ID, qt.Equals, "a")
@@ -228,8 +228,8 @@
 func TestLastAttemptAvoidsServersThatMayDecline(t *testing.T) {
 	c := qt.New(t)
 	v, _ := limitedView("a", "b")
-	choice, _ := v.Begin(Need{Service: "s", Zone: "z-a", Only: "a"}, start)
-	choice.Advised(advice.Advice{Rest: time.Second}, start)
+	choice, _ := v.Begin(Need{Service: "s", Zone: "z-a", ServerID: "a"}, start)
+	choice.ApplyAdvice(advice.Advice{RetryAfter: time.Second}, start)
 	choice.End(OutcomeFull, start)
 	rested := start.Add(time.Second)
 	picked := func(final bool, at time.Time) string {
@@ -239,8 +239,8 @@
 	}
 	c.Check(picked(false, rested), qt.Equals, "a", qt.Commentf("it is found out whether it serves again"))
 	c.Check(picked(true, rested), qt.Equals, "b")
-	c.Check(picked(true, rested.Add(probationFor)), qt.Equals, "a", qt.Commentf("also where each request has one attempt"))
-	served, _ := v.Begin(Need{Service: "s", Zone: "z-a", Only: "a"}, rested)
+	c.Check(picked(true, rested.Add(probationPeriod)), qt.Equals, "a", qt.Commentf("also where each request has one attempt"))
+	served, _ := v.Begin(Need{Service: "s", Zone: "z-a", ServerID: "a"}, rested)
 	served.End(OutcomeServed, rested)
 	c.Check(picked(true, rested), qt.Equals, "a")
 }
@@ -254,7 +254,7 @@
 				ids = append(ids, fmt.Sprintf("i-%05d", i))
 			}
 			v, _ := limitedView(ids...)
-			for _, id := range ids[:maxRecords] {
+			for _, id := range ids[:maxReportRecords] {
 				report(v, id, named(1, start))
 			}
 			records := v.Limits(0, start)
--- a/internal/backend/notice_test.go
+++ b/internal/backend/notice_test.go
@@ -8,31 +8,31 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestShortPromptsKeepOffWhatWasNoticed: a short prompt goes elsewhere at once when
+// TestShortPromptsAvoidNoticedServers: a short prompt goes elsewhere at once when
 // another daemon has told of a long one, and comes back when sums without it come.
-func TestShortPromptsKeepOffWhatWasNoticed(t *testing.T) {
+func TestShortPromptsAvoidNoticedServers(t *testing.T) {
 	c := qt.New(t)
 	v := modelView("a", "b", "c", "d")
 	home, _ := v.Begin(prompt(1), start)
 	home.End(OutcomeNeutral, start)
-	v.Noticed(KeyOf(home.Entry), 50_000, start)
+	v.RecordNotice(KeyOf(home.Entry), 50_000, start)
 	other, _ := v.Begin(prompt(1), start)
 	c.Check(other.ID, qt.Not(qt.Equals), home.ID)
 	other.End(OutcomeNeutral, start)
-	later := start.Add(noticeFor)
-	v.SetRemote(nil, later)
+	later := start.Add(noticeTTL)
+	v.SetPeerLoads(nil, later)
 	again, _ := v.Begin(prompt(1), later)
 	c.Check(again.ID, qt.Equals, home.ID)
 }
 
-// TestNoticeAndSumsAreNotAddedUp: sums that hold what was told at once count it once.
-func TestNoticeAndSumsAreNotAddedUp(t *testing.T) {
+// TestNoticesAreNotAddedToPeerLoads: sums that hold what was told at once count it once.
+func TestNoticesAreNotAddedToPeerLoads(t *testing.T) {
 	c := qt.New(t)
 	v := modelView("a")
-	v.Noticed(KeyOf(Entry{ID: "a"}), 30_000, start)
-	v.SetRemote(map[uint32]Load{KeyOf(Entry{ID: "a"}): {Running: 1, PendingTokens: 30_000}}, start.Add(100*time.Millisecond))
+	v.RecordNotice(KeyOf(Entry{ID: "a"}), 30_000, start)
+	v.SetPeerLoads(map[uint32]Load{KeyOf(Entry{ID: "a"}): {Running: 1, PendingTokens: 30_000}}, start.Add(100*time.Millisecond))
 	c.Check(v.Servers(start.Add(100 * time.Millisecond))[0].PendingTokens, qt.Equals, 30_000)
-	v.Noticed(KeyOf(Entry{ID: "a"}), 5_000, start.Add(100*time.Millisecond))
+	v.RecordNotice(KeyOf(Entry{ID: "a"}), 5_000, start.Add(100*time.Millisecond))
 	c.Check(v.Servers(start.Add(100 * time.Millisecond))[0].PendingTokens, qt.Equals, 35_000)
 }
 
@@ -41,13 +41,13 @@
 // land behind a long one.
 func TestLongPromptsDoNotHoldUpShortOnes(t *testing.T) {
 	c := qt.New(t)
-	without, with := behindLong(false), behindLong(true)
+	without, with := countShortsBehindLong(false), countShortsBehindLong(true)
 	c.Check(with*4 <= without, qt.IsTrue, qt.Commentf("%d with notices, %d without", with, without))
 }
 
-// behindLong returns how many short prompts were sent to a server on which another
+// countShortsBehindLong returns how many short prompts were sent to a server on which another
 // daemon's long one was being read.
-func behindLong(notices bool) int {
+func countShortsBehindLong(notices bool) int {
 	const daemons, servers, reading = 7, 12, 400 * time.Millisecond
 	views := make([]*View, daemons)
 	var ids []string
@@ -64,7 +64,7 @@
 		now := start.Add(time.Duration(tick) * 6 * time.Millisecond)
 		if tick%50 == 0 {
 			for i, v := range views {
-				v.SetRemote(loadsBut(views, i), now)
+				v.SetPeerLoads(peerLoadsOf(views, i), now)
 			}
 		}
 		for len(longs) > 0 && !now.Before(busyUntil[longs[0].ID]) {
@@ -73,19 +73,19 @@
 		}
 		v := views[tick%daemons]
 		if tick%40 == 0 {
-			long, _ := v.Begin(Need{Service: "s", Tokens: 40_000, Parts: []Part{{fmt.Sprint("long", tick), 40_000}}, Target: 500 * time.Millisecond}, now)
+			long, _ := v.Begin(Need{Service: "s", PromptTokens: 40_000, Parts: []PromptPart{{fmt.Sprint("long", tick), 40_000}}, Target: 500 * time.Millisecond}, now)
 			busyUntil[long.ID] = now.Add(reading)
-			if notices && long.Large {
+			if notices && long.LongPrefill {
 				for _, other := range views {
 					if other != v {
-						other.Noticed(KeyOf(long.Entry), long.Unread, now)
+						other.RecordNotice(KeyOf(long.Entry), long.PrefillTokens, now)
 					}
 				}
 			}
 			longs = append(longs, long)
 			continue
 		}
-		short, _ := v.Begin(Need{Service: "s", Tokens: 300, Parts: []Part{{fmt.Sprint("short", tick), 300}}, Target: 250 * time.Millisecond}, now)
+		short, _ := v.Begin(Need{Service: "s", PromptTokens: 300, Parts: []PromptPart{{fmt.Sprint("short", tick), 300}}, Target: 250 * time.Millisecond}, now)
 		if now.Before(busyUntil[short.ID]) {
 			behind++
 		}
@@ -94,8 +94,8 @@
 	return behind
 }
 
-// loadsBut adds up what all daemons but one have in flight.
-func loadsBut(views []*View, but int) map[uint32]Load {
+// peerLoadsOf adds up what all daemons but one have in flight.
+func peerLoadsOf(views []*View, but int) map[uint32]Load {
 	sum := map[uint32]Load{}
 	for i, v := range views {
 		if i == but {
--- a/internal/backend/pace.go
+++ b/internal/backend/pace.go
@@ -5,50 +5,50 @@
 	"github.com/plankridge/plankridge/internal/pace"
 )
 
-// pace returns what was learned of a service's engines, nil for a plain service. The
+// engineFor returns what was learned of a service's engines, nil for a plain service. The
 // caller holds the lock.
-func (v *View) pace(service string) *pace.Engine {
+func (v *View) engineFor(service string) *pace.Engine {
 	traits := v.traits[service]
 	if traits.CacheTokens == 0 {
 		return nil
 	}
-	if v.paces[service] == nil {
+	if v.engines[service] == nil {
 		engines := pace.NewEngine(traits.FetchRate)
-		engines.Learn(v.early[service])
-		delete(v.early, service)
-		v.paces[service] = engines
+		engines.Learn(v.unappliedFigures[service])
+		delete(v.unappliedFigures, service)
+		v.engines[service] = engines
 	}
-	return v.paces[service]
+	return v.engines[service]
 }
 
-// Paces returns what this daemon has learned of the engines, by service.
-func (v *View) Paces() map[string]pace.EngineFigures {
+// EngineFigures returns what this daemon has learned of the engines, by service.
+func (v *View) EngineFigures() map[string]pace.EngineFigures {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	figures := make(map[string]pace.EngineFigures, len(v.paces))
-	for service, engines := range v.paces {
+	figures := make(map[string]pace.EngineFigures, len(v.engines))
+	for service, engines := range v.engines {
 		figures[service] = engines.Figures()
 	}
 	return figures
 }
 
-// Learn takes over what other daemons have learned of the engines.
-func (v *View) Learn(figures map[string]pace.EngineFigures) {
+// MergeEngineFigures takes over what other daemons have learned of the engines.
+func (v *View) MergeEngineFigures(figures map[string]pace.EngineFigures) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for service, learned := range figures {
-		engines := v.pace(service)
+		engines := v.engineFor(service)
 		if engines == nil {
-			v.early[service] = learned
+			v.unappliedFigures[service] = learned
 			continue
 		}
 		engines.Learn(learned)
 	}
 }
 
-// loadOf returns what an attempt asks of the engines. A batch that is half full is
+// attemptLoad returns what an attempt asks of the engines. A batch that is half full is
 // taken for the speed of its stream.
-func loadOf(work pace.Work, answer pace.Answer, traits Traits, slots int, engines *pace.Engine) demand.Load {
+func attemptLoad(work pace.Work, answer pace.Answer, traits Traits, slots int, engines *pace.Engine) demand.Load {
 	held := (engines.FirstEvent(work) + engines.Stream(answer, slots/2)).Seconds()
 	load := demand.Load{
 		Reading: engines.Read(work).Seconds(),
--- a/internal/backend/placement.go
+++ b/internal/backend/placement.go
@@ -2,73 +2,73 @@
 
 import "time"
 
-// leastFetch is the least number of tokens that are worth copying from another
+// minFetchTokens is the least number of tokens that are worth copying from another
 // engine: a copy has a setup, and the link is shared.
-const leastFetch = 512
+const minFetchTokens = 512
 
 // placement is where the parts of one prompt are predicted to be kept.
 type placement struct {
-	parts []Part
+	parts []PromptPart
 	home  *server
-	// seen holds, by server, the leading tokens that this daemon has sent there.
-	seen map[*server]int
-	// best is the server with most of them, among those that answer.
-	best *server
-	// fetches is set when engines copy parts from each other.
-	fetches bool
-	// empty is set for a home that has lately started again.
-	empty bool
+	// sentTokens holds, by server, the leading tokens that this daemon has sent there.
+	sentTokens map[*server]int
+	// bestSource is the server with most of them, among those that answer.
+	bestSource *server
+	// canFetch is set when engines copy parts from each other.
+	canFetch bool
+	// homeEmpty is set for a home that has lately started again.
+	homeEmpty bool
 }
 
 // newPlacement predicts where the parts of a prompt are kept among the servers
 // of its service.
-func newPlacement(parts []Part, servers []*server, traits Traits, now time.Time) placement {
-	p := placement{parts: parts, fetches: traits.FetchRate > 0}
+func newPlacement(parts []PromptPart, servers []*server, traits Traits, now time.Time) placement {
+	p := placement{parts: parts, canFetch: traits.FetchRate > 0}
 	if traits.CacheTokens == 0 || len(parts) == 0 {
 		return p
 	}
-	p.home = home(homeKey(parts), servers)
-	p.empty = p.home != nil && !p.home.again.IsZero() && now.Sub(p.home.again) < emptyFor
-	p.seen = make(map[*server]int, len(servers))
+	p.home = homeServer(homePartID(parts), servers)
+	p.homeEmpty = p.home != nil && !p.home.restartedAt.IsZero() && now.Sub(p.home.restartedAt) < emptyCachePeriod
+	p.sentTokens = make(map[*server]int, len(servers))
 	for _, s := range servers {
 		if s.cache == nil {
 			s.cache = newPromptCache(traits.CacheTokens)
 		}
-		p.seen[s] = s.cache.prefix(parts)
-		if !s.suspect(now) && (p.best == nil || p.seen[s] > p.seen[p.best]) {
-			p.best = s
+		p.sentTokens[s] = s.cache.prefix(parts)
+		if !s.suspect(now) && (p.bestSource == nil || p.sentTokens[s] > p.sentTokens[p.bestSource]) {
+			p.bestSource = s
 		}
 	}
-	if p.best != nil && p.seen[p.best] < leastFetch && p.home != nil && !p.empty && !p.home.suspect(now) {
+	if p.bestSource != nil && p.sentTokens[p.bestSource] < minFetchTokens && p.home != nil && !p.homeEmpty && !p.home.suspect(now) {
 		// This daemon has sent the prompt nowhere; others will have used the home.
-		p.best = p.home
+		p.bestSource = p.home
 	}
 	return p
 }
 
-// cached returns the leading tokens that a server is predicted to keep, and
+// cachedAndFetched returns the leading tokens that a server is predicted to keep, and
 // those that it can copy from another server beyond them.
-func (p *placement) cached(s *server) (kept, fetched int) {
-	kept = p.kept(s)
-	if p.source(s) == "" {
+func (p *placement) cachedAndFetched(s *server) (kept, fetched int) {
+	kept = p.cachedTokens(s)
+	if p.fetchSource(s) == "" {
 		return kept, 0
 	}
-	return kept, max(0, p.kept(p.best)-kept)
+	return kept, max(0, p.cachedTokens(p.bestSource)-kept)
 }
 
-func (p *placement) kept(s *server) int {
-	if s == p.home && !p.empty {
-		return max(p.seen[s], sharedTokens(p.parts))
+func (p *placement) cachedTokens(s *server) int {
+	if s == p.home && !p.homeEmpty {
+		return max(p.sentTokens[s], sharedTokens(p.parts))
 	}
-	return p.seen[s]
+	return p.sentTokens[s]
 }
 
-// source returns the address of the server that another one should copy from,
+// fetchSource returns the address of the server that another one should copy from,
 // or nothing. A home that this daemon has not used may be a new server, which
 // copies what its predecessor keeps.
-func (p *placement) source(s *server) string {
-	if !p.fetches || p.best == nil || p.best == s || p.kept(p.best)-p.seen[s] < leastFetch {
+func (p *placement) fetchSource(s *server) string {
+	if !p.canFetch || p.bestSource == nil || p.bestSource == s || p.cachedTokens(p.bestSource)-p.sentTokens[s] < minFetchTokens {
 		return ""
 	}
-	return p.best.Address
+	return p.bestSource.Address
 }
--- a/internal/backend/placement_test.go
+++ b/internal/backend/placement_test.go
@@ -6,9 +6,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// promptOf has a part that many prompts share, one that some share, and its own.
-func promptOf(session, own string) []Part {
-	return []Part{{ID: "all", Tokens: 2500}, {ID: session, Tokens: 4000}, {ID: own, Tokens: 2000}}
+// promptParts has a part that many prompts share, one that some share, and its own.
+func promptParts(session, own string) []PromptPart {
+	return []PromptPart{{ID: "all", Tokens: 2500}, {ID: session, Tokens: 4000}, {ID: own, Tokens: 2000}}
 }
 
 func engineView(fetchRate float64, ids ...string) *View {
@@ -23,59 +23,59 @@
 }
 
 func beginPrompt(v *View, session, own string) *Choice {
-	choice, _ := v.Begin(Need{Service: "s", Zone: "z-a", Tokens: 8500, Parts: promptOf(session, own)}, start)
+	choice, _ := v.Begin(Need{Service: "s", Zone: "z-a", PromptTokens: 8500, Parts: promptParts(session, own)}, start)
 	return choice
 }
 
-// fill keeps the picked servers busy until each has got the same session.
-func fill(v *View, session string, servers int) []*Choice {
+// loadWithSession keeps the picked servers busy until each has got the same session.
+func loadWithSession(v *View, session string, servers int) []*Choice {
 	var choices []*Choice
 	for i := range servers {
 		choice := beginPrompt(v, session, string(rune('A'+i)))
-		choice.Event(start)
-		choice.server.own.PendingTokens += 40_000
+		choice.RecordEvent(start)
+		choice.server.ownLoad.PendingTokens += 40_000
 		choices = append(choices, choice)
 	}
 	return choices
 }
 
-func TestBusyHomeIsCopiedFrom(t *testing.T) {
+func TestPromptIsCopiedFromBusyHome(t *testing.T) {
 	c := qt.New(t)
 	v := engineView(124_000, "a", "b", "c")
-	home := fill(v, "session", 1)[0]
+	home := loadWithSession(v, "session", 1)[0]
 	other := beginPrompt(v, "session", "B")
 	c.Assert(other.ID, qt.Not(qt.Equals), home.ID)
 	c.Check(other.FetchFrom, qt.Equals, home.Address)
-	c.Check(other.Unread, qt.Equals, 2000)
+	c.Check(other.PrefillTokens, qt.Equals, 2000)
 }
 
 func TestNothingIsCopiedWhereEnginesCannot(t *testing.T) {
 	c := qt.New(t)
 	v := engineView(0, "a", "b", "c")
-	home := fill(v, "session", 1)[0]
+	home := loadWithSession(v, "session", 1)[0]
 	other := beginPrompt(v, "session", "B")
 	c.Assert(other.ID, qt.Not(qt.Equals), home.ID)
 	c.Check(other.FetchFrom, qt.Equals, "")
-	c.Check(other.Unread, qt.Equals, 8500)
+	c.Check(other.PrefillTokens, qt.Equals, 8500)
 }
 
 func TestNothingIsCopiedFromASuspectServer(t *testing.T) {
 	c := qt.New(t)
 	v := engineView(124_000, "a", "b", "c")
-	home := fill(v, "session", 1)[0]
+	home := loadWithSession(v, "session", 1)[0]
 	home.End(OutcomeFailed, start)
 	other := beginPrompt(v, "session", "B")
 	c.Assert(other.ID, qt.Not(qt.Equals), home.ID)
 	c.Check(other.FetchFrom, qt.Equals, "")
 }
 
-func TestKeeperReadsWithoutACopy(t *testing.T) {
+func TestServerWithCachedPromptFetchesNothing(t *testing.T) {
 	c := qt.New(t)
 	v := engineView(124_000, "a", "b", "c")
 	first := beginPrompt(v, "session", "A")
-	first.Event(start)
+	first.RecordEvent(start)
 	again := beginPrompt(v, "session", "B")
 	c.Check(again.ID, qt.Equals, first.ID)
 	c.Check(again.FetchFrom, qt.Equals, "")
-	c.Check(again.Unread, qt.Equals, 2000)
+	c.Check(again.PrefillTokens, qt.Equals, 2000)
 }
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -17,9 +17,9 @@
 type Entry struct {
 	// ID names the server. One that starts again may keep it.
 	ID string
-	// BornMs names its incarnation: when it began by its own clock, in milliseconds since
+	// StartTimeMs names its incarnation: when it began by its own clock, in milliseconds since
 	// 1970. It is zero where servers do not tell it.
-	BornMs int64
+	StartTimeMs int64
 	// Sequence orders what one incarnation has told.
 	Sequence int64
 	Service  string
@@ -38,8 +38,8 @@
 	LeavesIn time.Duration
 	// Reclaimable servers are cheaper and may be taken away with their zone.
 	Reclaimable bool
-	// ColdFor is how much longer the server is slow after its start.
-	ColdFor time.Duration
+	// WarmupLeft is how much longer the server is slow after its start.
+	WarmupLeft time.Duration
 }
 
 // Load is what is in flight on a server.
@@ -69,17 +69,17 @@
 
 const (
 	// failureHalfLife halves the weight of a failure. A server is suspect while
-	// its weight is above suspectAbove, so one failure counts for two seconds. An
+	// its weight is above suspectThreshold, so one failure counts for two seconds. An
 	// answer takes a fifth off, so that a server that fails now and then stays
 	// suspect.
-	failureHalfLife = 2 * time.Second
-	suspectAbove    = 0.5
-	forgiveness     = 0.8
-	// maxFailures bounds the weight: three half-lives until a server that has
+	failureHalfLife  = 2 * time.Second
+	suspectThreshold = 0.5
+	successDecay     = 0.8
+	// maxFailureWeight bounds the weight: three half-lives until a server that has
 	// failed throughout is tried first again.
-	maxFailures = 4.0
-	// fullFor is how long a server that declined for lack of room is avoided.
-	fullFor = 150 * time.Millisecond
+	maxFailureWeight = 4.0
+	// fullBackoff is how long a server that declined for lack of room is avoided.
+	fullBackoff = 150 * time.Millisecond
 	// serviceTimeWeight is the weight of a new attempt in the mean time of
 	// attempts.
 	serviceTimeWeight = 0.1
@@ -90,25 +90,25 @@
 	Entry
 	// attempts are those in flight.
 	attempts map[*Choice]struct{}
-	// again is when an incarnation that followed another one was learned of.
-	again time.Time
+	// restartedAt is when an incarnation that followed another one was learned of.
+	restartedAt time.Time
 	// key is how daemons name the server to each other.
 	key uint32
 	// idHash is the hash of its ID, by which homes of prompts are found.
-	idHash uint64
-	own    Load
-	// deferred are prompt tokens of this daemon that go behind all others there.
-	deferred int
-	// remote is what others have in flight on the server, as of remoteAt.
-	remote   Load
-	remoteAt time.Time
-	cache    *promptCache
-	// notices are what others have sent there since.
-	notices notices
-
-	failures  float64
-	failureAt time.Time
-	fullUntil time.Time
+	idHash  uint64
+	ownLoad Load
+	// deferredTokens are prompt tokens of this daemon that go behind all others there.
+	deferredTokens int
+	// peerLoad is what others have in flight on the server, as of peerLoadAt.
+	peerLoad   Load
+	peerLoadAt time.Time
+	cache      *promptCache
+	// peerNotices are what others have sent there since.
+	peerNotices peerNotices
+
+	lastFailureWeight float64
+	failureWeightAt   time.Time
+	fullUntil         time.Time
 	// leftAt is when this daemon learned that the server drains or is gone from
 	// the list; usableUntil ends its use as a last resort.
 	leftAt      time.Time
@@ -119,17 +119,17 @@
 	leavingAnnouncedAt time.Time
 	peerReported       bool
 	serviceTime        time.Duration
-	// slow is how much longer the server's first events took of late than those of its
-	// service, as a logarithm, as of slowAt.
-	slow     float64
-	slowAt   time.Time
-	servedAt time.Time
-	joinedAt time.Time
-	// limit is the server's latest request limit, liftedAt when it last ended, and againAt when a server
+	// logSlowdown is how much longer the server's first events took of late than those of its
+	// service, as a logarithm, as of logSlowdownAt.
+	logSlowdown   float64
+	logSlowdownAt time.Time
+	lastServedAt  time.Time
+	joinedAt      time.Time
+	// limit is the server's latest request limit, liftedAt when it last ended, and admissibleAt when a server
 	// at its limit may be sent a request.
-	limit    advice.Limit
-	liftedAt time.Time
-	againAt  time.Time
+	limit        advice.Limit
+	liftedAt     time.Time
+	admissibleAt time.Time
 	// restUntil is until when the server wants no requests from this daemon.
 	restUntil time.Time
 }
@@ -142,87 +142,87 @@
 func (s *server) usable(now time.Time) bool { return now.Before(s.usableUntil) }
 
 func (s *server) failureWeight(now time.Time) float64 {
-	if s.failures == 0 {
+	if s.lastFailureWeight == 0 {
 		return 0
 	}
-	age := now.Sub(s.failureAt).Seconds() / failureHalfLife.Seconds()
-	return s.failures * math.Exp2(-age)
+	age := now.Sub(s.failureWeightAt).Seconds() / failureHalfLife.Seconds()
+	return s.lastFailureWeight * math.Exp2(-age)
 }
 
-// rests reports whether the server has asked this daemon for rest.
-func (s *server) rests(now time.Time) bool { return now.Before(s.restUntil) }
+// resting reports whether the server has asked this daemon for rest.
+func (s *server) resting(now time.Time) bool { return now.Before(s.restUntil) }
 
-// probationFor is how long after its rest a server that has served nothing since is not relied on.
-const probationFor = 5 * time.Second
+// probationPeriod is how long after its rest a server that has served nothing since is not relied on.
+const probationPeriod = 5 * time.Second
 
 // onProbation reports whether the server has declined and served nothing since: it may decline again.
 func (s *server) onProbation(now time.Time) bool {
-	return now.Before(s.restUntil.Add(probationFor)) && s.servedAt.Before(s.restUntil)
+	return now.Before(s.restUntil.Add(probationPeriod)) && s.lastServedAt.Before(s.restUntil)
 }
 
 // suspect reports whether the server should be used only when no other is
 // left.
 func (s *server) suspect(now time.Time) bool {
-	return now.Before(s.fullUntil) || s.failureWeight(now) > suspectAbove
+	return now.Before(s.fullUntil) || s.failureWeight(now) > suspectThreshold
 }
 
-// note takes over how an attempt ended.
-func (s *server) note(outcome Outcome, now time.Time) {
+// recordOutcome takes over how an attempt ended.
+func (s *server) recordOutcome(outcome Outcome, now time.Time) {
 	switch outcome {
 	case OutcomeServed:
-		s.failures, s.failureAt = forgiveness*s.failureWeight(now), now
-		s.servedAt = now
+		s.lastFailureWeight, s.failureWeightAt = successDecay*s.failureWeight(now), now
+		s.lastServedAt = now
 	case OutcomeFailed:
-		s.failures, s.failureAt = min(maxFailures, s.failureWeight(now)+1), now
+		s.lastFailureWeight, s.failureWeightAt = min(maxFailureWeight, s.failureWeight(now)+1), now
 	case OutcomeFull:
-		s.fullUntil = now.Add(fullFor)
+		s.fullUntil = now.Add(fullBackoff)
 	case OutcomeWrongServer:
 		s.listed, s.usableUntil = false, time.Time{}
 	}
 }
 
 const (
-	// slowWeight is the weight of a first event in how slow a server is: one in three
+	// slowdownWeight is the weight of a first event in how slow a server is: one in three
 	// that takes eight times as long is felt, one alone is not.
-	slowWeight = 0.2
-	// slowHalfLife halves it, so that a server that was slow is tried again.
-	slowHalfLife = 5 * time.Second
-	// mostSlow bounds it: a factor of seven.
-	mostSlow = 2.0
+	slowdownWeight = 0.2
+	// slowdownHalfLife halves it, so that a server that was slow is tried again.
+	slowdownHalfLife = 5 * time.Second
+	// maxLogSlowdown bounds it: a factor of seven.
+	maxLogSlowdown = 2.0
 )
 
-// slower returns how much longer than the service's servers this one takes, at least
+// slowdownFactor returns how much longer than the service's servers this one takes, at least
 // one.
-func (s *server) slower(now time.Time) float64 {
-	return math.Exp(max(0, s.slowNow(now)))
+func (s *server) slowdownFactor(now time.Time) float64 {
+	return math.Exp(max(0, s.decayedLogSlowdown(now)))
 }
 
-func (s *server) slowNow(now time.Time) float64 {
-	if s.slow == 0 {
+func (s *server) decayedLogSlowdown(now time.Time) float64 {
+	if s.logSlowdown == 0 {
 		return 0
 	}
-	return s.slow * math.Exp2(-now.Sub(s.slowAt).Seconds()/slowHalfLife.Seconds())
+	return s.logSlowdown * math.Exp2(-now.Sub(s.logSlowdownAt).Seconds()/slowdownHalfLife.Seconds())
 }
 
-// sawFirst takes over how long a first event took against what was predicted.
-func (s *server) sawFirst(predicted, took time.Duration, now time.Time) {
+// recordFirstEvent takes over how long a first event took against what was predicted.
+func (s *server) recordFirstEvent(predicted, took time.Duration, now time.Time) {
 	if predicted <= 0 || took <= 0 {
 		return
 	}
-	ratio := max(-mostSlow, min(mostSlow, math.Log(took.Seconds()/predicted.Seconds())))
-	slow := s.slowNow(now)
-	s.slow, s.slowAt = slow+slowWeight*(ratio-slow), now
+	ratio := max(-maxLogSlowdown, min(maxLogSlowdown, math.Log(took.Seconds()/predicted.Seconds())))
+	slow := s.decayedLogSlowdown(now)
+	s.logSlowdown, s.logSlowdownAt = slow+slowdownWeight*(ratio-slow), now
 }
 
-// remoteFor is how long what others have in flight counts after it was told: twice
+// peerLoadTTL is how long what others have in flight counts after it was told: twice
 // the time after which a daemon counts as silent.
-const remoteFor = 3 * time.Second
+const peerLoadTTL = 3 * time.Second
 
 func (s *server) load(now time.Time) Load {
-	sum := s.own
-	sum.PendingTokens += s.othersPending(now)
-	if now.Sub(s.remoteAt) < remoteFor {
-		sum.Running += max(0, s.remote.Running)
+	sum := s.ownLoad
+	sum.PendingTokens += s.peerPendingTokens(now)
+	if now.Sub(s.peerLoadAt) < peerLoadTTL {
+		sum.Running += max(0, s.peerLoad.Running)
 	}
 	return sum
 }
@@ -232,8 +232,8 @@
 // their loads, which only misleads the choice between them.
 func KeyOf(e Entry) uint32 {
 	name := e.ID
-	if e.BornMs != 0 {
-		name += "|" + strconv.FormatInt(e.BornMs, 16)
+	if e.StartTimeMs != 0 {
+		name += "|" + strconv.FormatInt(e.StartTimeMs, 16)
 	}
 	return uint32(xxhash.Sum64String(name))
 }
--- a/internal/backend/shortlist.go
+++ b/internal/backend/shortlist.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// lookAtAll is the number of servers up to which all are looked at.
-	lookAtAll = 16
-	// homes is the number of servers that all daemons take for homes of a prompt,
+	// maxFullScan is the number of servers up to which all are looked at.
+	maxFullScan = 16
+	// homeCount is the number of servers that all daemons take for homes of a prompt,
 	// drawn the number of others that are looked at.
-	homes = 2
-	drawn = 2
+	homeCount   = 2
+	sampleCount = 2
 )
 
 // shortlist returns the servers that are looked at for a request. What a daemon
@@ -21,17 +21,17 @@
 // at, all daemons would send to the same few. So each request looks at the homes
 // of its prompt and at a few servers drawn for it.
 func shortlist(servers []*server, need Need) []*server {
-	if len(servers) <= lookAtAll || need.Only != "" {
+	if len(servers) <= maxFullScan || need.ServerID != "" {
 		return servers
 	}
-	key := homeKey(need.Parts)
+	key := homePartID(need.Parts)
 	if key == "" {
 		return servers
 	}
-	list := homesOf(key, servers)
-	for i := range drawn {
-		at := xxhash.Sum64String(strconv.FormatUint(need.Draw, 16)+strconv.Itoa(i)) % uint64(len(servers))
-		for slices.Contains(list[:homes], servers[at]) {
+	list := topHomes(key, servers)
+	for i := range sampleCount {
+		at := xxhash.Sum64String(strconv.FormatUint(need.SampleSeed, 16)+strconv.Itoa(i)) % uint64(len(servers))
+		for slices.Contains(list[:homeCount], servers[at]) {
 			at = (at + 1) % uint64(len(servers))
 		}
 		list = append(list, servers[at])
@@ -39,14 +39,14 @@
 	return list
 }
 
-// homesOf returns the servers of most weight for a key, that of most first. There are
+// topHomes returns the servers of most weight for a key, that of most first. There are
 // more servers than homes.
-func homesOf(key string, servers []*server) []*server {
+func topHomes(key string, servers []*server) []*server {
 	keyHash := xxhash.Sum64String(key)
 	var first, second *server
 	var most, next uint64
 	for _, s := range servers {
-		switch weight := s.weight(keyHash); {
+		switch weight := s.rendezvousWeight(keyHash); {
 		case first == nil || weight > most:
 			second, next = first, most
 			first, most = s, weight
@@ -54,5 +54,5 @@
 			second, next = s, weight
 		}
 	}
-	return append(make([]*server, 0, homes+drawn), first, second)
+	return append(make([]*server, 0, homeCount+sampleCount), first, second)
 }
--- a/internal/backend/shortlist_test.go
+++ b/internal/backend/shortlist_test.go
@@ -20,10 +20,10 @@
 		v := engineView(124_000, ids...)
 		// Each server but one is told to be a little busy.
 		for _, id := range ids[1:] {
-			v.servers[id].own.PendingTokens = 4000
+			v.servers[id].ownLoad.PendingTokens = 4000
 		}
 		choice, ok := v.Begin(Need{
-			Service: "s", Zone: "z", Tokens: 8500, Parts: promptOf(fmt.Sprintf("session-%d", daemon), "own"), Draw: uint64(daemon),
+			Service: "s", Zone: "z", PromptTokens: 8500, Parts: promptParts(fmt.Sprintf("session-%d", daemon), "own"), SampleSeed: uint64(daemon),
 		}, start)
 		c.Assert(ok, qt.IsTrue)
 		picks[choice.ID]++
@@ -36,17 +36,17 @@
 	c.Check(len(picks) >= 30, qt.IsTrue, qt.Commentf("%d servers were used", len(picks)))
 }
 
-func TestHomesAreAlwaysLookedAt(t *testing.T) {
+func TestShortlistContainsHomes(t *testing.T) {
 	c := qt.New(t)
 	var ids []string
 	for i := range 60 {
 		ids = append(ids, fmt.Sprintf("s%02d", i))
 	}
 	v := engineView(124_000, ids...)
-	first, _ := v.Begin(Need{Service: "s", Tokens: 8500, Parts: promptOf("session", "A"), Draw: 1}, start)
+	first, _ := v.Begin(Need{Service: "s", PromptTokens: 8500, Parts: promptParts("session", "A"), SampleSeed: 1}, start)
 	for draw := range uint64(20) {
-		list := shortlist(v.candidates(side{service: "s"}, start), Need{Parts: promptOf("session", "B"), Draw: draw})
-		c.Assert(list, qt.HasLen, homes+drawn)
+		list := shortlist(v.eligibleServers(track{service: "s"}, start), Need{Parts: promptParts("session", "B"), SampleSeed: draw})
+		c.Assert(list, qt.HasLen, homeCount+sampleCount)
 		c.Check(list[0].ID == first.ID || list[1].ID == first.ID, qt.IsTrue)
 	}
 }
--- a/internal/backend/versions.go
+++ b/internal/backend/versions.go
@@ -9,26 +9,26 @@
 // Versions says which versions of a service's servers may be used. The zero value allows
 // all of them.
 type Versions struct {
-	// Checked is set where versions matter: then a server of any other version than these two
+	// Enforced is set where versions matter: then a server of any other version than these two
 	// gets nothing.
-	Checked bool
+	Enforced bool
 	// Stable is the version that requests go to, empty while it is not known.
 	Stable string
 	// Candidate is the version that a roll-out tries, or empty. Attempts go there only if
 	// they ask for it.
 	Candidate string
-	// All is set once every server of the candidate is used.
-	All bool
+	// AllCandidates is set once every server of the candidate is used.
+	AllCandidates bool
 }
 
-// fewCandidates is the number of the candidate's servers that are used before all are: a
+// maxCandidateSubset is the number of the candidate's servers that are used before all are: a
 // small share of all requests on few servers loads each of them as much as the others, so
 // that a version that is bad under load only shows it, and three tell a bad version from one
 // bad server.
-const fewCandidates = 3
+const maxCandidateSubset = 3
 
-// side is a list of servers of a service that attempts choose from.
-type side struct {
+// track is a list of servers of a service that attempts choose from.
+type track struct {
 	service   string
 	candidate bool
 }
@@ -44,12 +44,12 @@
 	clear(v.inService)
 }
 
-// CheckVersions makes versions matter for every service: until SetVersions names those of a
+// EnforceVersions makes versions matter for every service: until SetVersions names those of a
 // service, none of its servers may be used.
-func (v *View) CheckVersions() {
+func (v *View) EnforceVersions() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.checked = true
+	v.enforceVersions = true
 }
 
 // versionsOf returns which versions of a service may be used; the caller holds the lock.
@@ -57,13 +57,13 @@
 	if versions, named := v.versions[service]; named {
 		return versions
 	}
-	return Versions{Checked: v.checked}
+	return Versions{Enforced: v.enforceVersions}
 }
 
 // allows reports whether servers of a version may be chosen on one side.
 func (v Versions) allows(version string, candidate bool) bool {
 	switch {
-	case !v.Checked:
+	case !v.Enforced:
 		return !candidate
 	case candidate:
 		return v.Candidate != "" && version == v.Candidate
@@ -71,47 +71,47 @@
 	return v.Stable != "" && version == v.Stable
 }
 
-// mayUse reports whether a server may be used at all.
-func (v *View) mayUse(s *server) bool {
+// versionAllowed reports whether a server may be used at all.
+func (v *View) versionAllowed(s *server) bool {
 	versions := v.versionsOf(s.Service)
 	return versions.allows(s.Version, false) || versions.allows(s.Version, true)
 }
 
-// few returns the servers of a candidate that are used before all are, the same at every
+// candidateSubset returns the servers of a candidate that are used before all are, the same at every
 // daemon.
-func few(servers []*server) []*server {
-	if len(servers) <= fewCandidates {
+func candidateSubset(servers []*server) []*server {
+	if len(servers) <= maxCandidateSubset {
 		return servers
 	}
 	chosen := slices.Clone(servers)
 	slices.SortFunc(chosen, func(a, b *server) int { return cmp.Or(cmp.Compare(a.idHash, b.idHash), cmp.Compare(a.ID, b.ID)) })
-	chosen = chosen[:fewCandidates]
+	chosen = chosen[:maxCandidateSubset]
 	slices.SortFunc(chosen, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 	return chosen
 }
 
-// sideOf returns the servers that an attempt chooses from, and whether they are the
+// trackServers returns the servers that an attempt chooses from, and whether they are the
 // candidate's. Nothing waits for a candidate: where none of its servers is there, or all are
 // suspect, the attempt goes to the stable version. Where that has none left, it goes to a
 // candidate that all requests may go to.
-func (v *View) sideOf(need Need, now time.Time) (servers []*server, candidate bool) {
+func (v *View) trackServers(need Need, now time.Time) (servers []*server, candidate bool) {
 	versions := v.versionsOf(need.Service)
 	if need.Candidate {
-		tried := v.candidates(side{need.Service, true}, now)
-		sound := slices.ContainsFunc(tried, func(s *server) bool { return s.ready() && !s.suspect(now) && !s.rests(now) })
+		tried := v.eligibleServers(track{need.Service, true}, now)
+		sound := slices.ContainsFunc(tried, func(s *server) bool { return s.ready() && !s.suspect(now) && !s.resting(now) })
 		if sound {
 			return tried, true
 		}
 	}
-	servers = v.candidates(side{need.Service, false}, now)
-	if len(servers) == 0 && versions.All {
-		return v.candidates(side{need.Service, true}, now), true
+	servers = v.eligibleServers(track{need.Service, false}, now)
+	if len(servers) == 0 && versions.AllCandidates {
+		return v.eligibleServers(track{need.Service, true}, now), true
 	}
 	return servers, false
 }
 
-// NewestOf returns the highest revision of the listed servers of some services.
-func (v *View) NewestOf(of func(service string) bool) (revision int64) {
+// NewestRevision returns the highest revision of the listed servers of some services.
+func (v *View) NewestRevision(of func(service string) bool) (revision int64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, s := range v.servers {
--- a/internal/backend/view.go
+++ b/internal/backend/view.go
@@ -29,37 +29,37 @@
 	mu      sync.Mutex
 	servers map[string]*server
 	traits  map[string]Traits
-	// distances are how long connections to the zones take to open.
-	distances map[string]distance
-	// paces are what was learned of the engines, by service.
-	paces map[string]*pace.Engine
-	// early are figures that others told before the configuration of the service came.
-	early     map[string]pace.EngineFigures
-	outageEnd time.Time
+	// connectTimes are how long connections to the zones take to open.
+	connectTimes map[string]connectTime
+	// engines are what was learned of the engines, by service.
+	engines map[string]*pace.Engine
+	// unappliedFigures are figures that others told before the configuration of the service came.
+	unappliedFigures map[string]pace.EngineFigures
+	outageEnd        time.Time
 	// drainBound is how long a draining server may be sent requests after the store has acknowledged
 	// that it drains.
 	drainBound time.Duration
 	// inService are the servers in service, by service, as far as they were asked for
 	// since one last came or left.
-	inService map[side][]*server
+	inService map[track][]*server
 	// versions say which versions may be used, by service.
 	versions map[string]Versions
-	// checked is set where versions matter.
-	checked bool
+	// enforceVersions is set where versions matter.
+	enforceVersions bool
 	// prunedAt is when servers to forget were last looked for.
 	prunedAt time.Time
 	// listed is set once a whole list was taken over.
 	listed  bool
 	changed chan struct{}
-	// keyed are the servers by their keys, or nil where that has to be made anew.
-	keyed map[uint32]*server
+	// keyIndex are the servers by their keys, or nil where that has to be made anew.
+	keyIndex map[uint32]*server
 	// limiter shares the limits that servers name. Nil keeps none.
 	limiter Limiter
 }
 
 // NewView returns an empty view.
 func NewView() *View {
-	return &View{servers: map[string]*server{}, traits: map[string]Traits{}, distances: map[string]distance{}, paces: map[string]*pace.Engine{}, early: map[string]pace.EngineFigures{}, inService: map[side][]*server{}, versions: map[string]Versions{}, changed: make(chan struct{}), drainBound: defaultDrainBound}
+	return &View{servers: map[string]*server{}, traits: map[string]Traits{}, connectTimes: map[string]connectTime{}, engines: map[string]*pace.Engine{}, unappliedFigures: map[string]pace.EngineFigures{}, inService: map[track][]*server{}, versions: map[string]Versions{}, changed: make(chan struct{}), drainBound: defaultDrainBound}
 }
 
 // SetTraits takes over what a configuration says of the services.
@@ -76,8 +76,8 @@
 	return v.changed
 }
 
-// announce lets all know that the list has changed.
-func (v *View) announce() {
+// notifyChanged lets all know that the list has changed.
+func (v *View) notifyChanged() {
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
@@ -102,11 +102,11 @@
 	}
 	for id, s := range v.servers {
 		if !present[id] {
-			v.lapse(s, seen)
+			v.removeEntry(s, seen)
 		}
 	}
 	v.prune(seen.ReceivedAt)
-	v.announce()
+	v.notifyChanged()
 	return ended
 }
 
@@ -121,15 +121,15 @@
 // Put takes over a new or changed entry as of now. If the server has started again it returns its
 // entry as it was before.
 func (v *View) Put(e Entry, now time.Time) (ended []Entry) {
-	return v.Change([]Entry{e}, nil, Observed(now))
+	return v.Update([]Entry{e}, nil, Observed(now))
 }
 
 // Remove takes over that an entry is gone from the list as of now.
-func (v *View) Remove(id string, now time.Time) { v.Change(nil, []string{id}, Observed(now)) }
+func (v *View) Remove(id string, now time.Time) { v.Update(nil, []string{id}, Observed(now)) }
 
-// Change takes over new and changed entries and the IDs of those that are gone from the
+// Update takes over new and changed entries and the IDs of those that are gone from the
 // list. It returns the entries of servers that have started again as they were before.
-func (v *View) Change(entries []Entry, gone []string, seen Observation) (ended []Entry) {
+func (v *View) Update(entries []Entry, gone []string, seen Observation) (ended []Entry) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, e := range entries {
@@ -137,36 +137,36 @@
 	}
 	for _, id := range gone {
 		if s := v.servers[id]; s != nil {
-			v.lapse(s, seen)
+			v.removeEntry(s, seen)
 		}
 	}
 	v.prune(seen.ReceivedAt)
-	v.announce()
+	v.notifyChanged()
 	return ended
 }
 
 func (v *View) put(e Entry, seen Observation) (ended []Entry) {
 	now := seen.ReceivedAt
 	s := v.servers[e.ID]
-	if s != nil && s.outdates(e) {
+	if s != nil && s.supersedes(e) {
 		return nil
 	}
 	var again time.Time
-	if s != nil && s.startedAgain(e) {
+	if s != nil && s.isRestart(e) {
 		ended = append(ended, s.Entry)
 		v.forgetLimit(s)
-		s.end()
+		s.abandonAttempts()
 		s, again = nil, now
 		clear(v.inService)
 	}
 	if s == nil {
-		s = &server{key: KeyOf(e), idHash: xxhash.Sum64String(e.ID), joinedAt: now, again: again, attempts: map[*Choice]struct{}{}}
-		v.servers[e.ID], v.keyed = s, nil
+		s = &server{key: KeyOf(e), idHash: xxhash.Sum64String(e.ID), joinedAt: now, restartedAt: again, attempts: map[*Choice]struct{}{}}
+		v.servers[e.ID], v.keyIndex = s, nil
 	}
 	before, service, version := s.ready(), s.Service, s.Version
-	if e.BornMs != s.BornMs {
+	if e.StartTimeMs != s.StartTimeMs {
 		// An incarnation that was not named before.
-		s.key, v.keyed = KeyOf(e), nil
+		s.key, v.keyIndex = KeyOf(e), nil
 		clear(v.inService)
 	}
 	s.Entry, s.listed = e, true
@@ -183,24 +183,24 @@
 	return ended
 }
 
-// forgetAfter is how long a server that has left is remembered, for attempts
+// departedRetention is how long a server that has left is remembered, for attempts
 // that are still on their way.
-const forgetAfter = time.Minute
+const departedRetention = time.Minute
 
-// pruneEvery is the time between two walks over all servers for those to forget. With a
+// pruneInterval is the time between two walks over all servers for those to forget. With a
 // walk for each changed entry, one of 3,000 servers took 33 µs.
-const pruneEvery = time.Second
+const pruneInterval = time.Second
 
 func (v *View) prune(now time.Time) {
-	if now.Sub(v.prunedAt) < pruneEvery {
+	if now.Sub(v.prunedAt) < pruneInterval {
 		return
 	}
 	v.prunedAt = now
 	for id, s := range v.servers {
-		if !s.listed && now.Sub(s.leftAt) > forgetAfter && s.own.Running == 0 {
+		if !s.listed && now.Sub(s.leftAt) > departedRetention && s.ownLoad.Running == 0 {
 			v.forgetLimit(s)
 			delete(v.servers, id)
-			v.keyed = nil
+			v.keyIndex = nil
 		}
 	}
 }
@@ -213,12 +213,12 @@
 	v.sweepLeavingNotices(now)
 }
 
-// SetRemote takes over what all other daemons have in flight, by key.
-func (v *View) SetRemote(loads map[uint32]Load, now time.Time) {
+// SetPeerLoads takes over what all other daemons have in flight, by key.
+func (v *View) SetPeerLoads(loads map[uint32]Load, now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, s := range v.servers {
-		s.remote, s.remoteAt = loads[s.key], now
+		s.peerLoad, s.peerLoadAt = loads[s.key], now
 	}
 }
 
@@ -239,32 +239,32 @@
 	defer v.mu.Unlock()
 	loads := map[uint32]Load{}
 	for _, s := range v.servers {
-		if s.own != (Load{}) {
-			loads[s.key] = s.own
+		if s.ownLoad != (Load{}) {
+			loads[s.key] = s.ownLoad
 		}
 	}
 	return loads
 }
 
-// tellingShare is the share of a service's servers from which on all are taken to tell their
+// incarnationShare is the share of a service's servers from which on all are taken to tell their
 // incarnation. Were one enough, a single entry of another writer would take all servers away
 // where none tells it.
-const tellingShare = 0.75
+const incarnationShare = 0.75
 
-// tellIncarnations reports whether servers of a service tell their incarnation. An entry
+// reportsIncarnations reports whether servers of a service tell their incarnation. An entry
 // without one is then of another writer and names no server to use.
-func (v *View) tellIncarnations(service string) bool {
+func (v *View) reportsIncarnations(service string) bool {
 	listed, telling := 0, 0
 	for _, s := range v.servers {
 		if !s.listed || s.Service != service {
 			continue
 		}
 		listed++
-		if s.BornMs != 0 {
+		if s.StartTimeMs != 0 {
 			telling++
 		}
 	}
-	return telling > 0 && float64(telling) >= tellingShare*float64(listed)
+	return telling > 0 && float64(telling) >= incarnationShare*float64(listed)
 }
 
 // Status is one server's state for operators and for capacity decisions.
@@ -289,7 +289,7 @@
 	var all []Status
 	for _, s := range v.servers {
 		if s.listed {
-			all = append(all, Status{Entry: s.Entry, Load: s.load(now), Ready: s.ready(), Suspect: s.suspect(now), Barred: !v.mayUse(s), Limit: s.limit, AtLimit: s.limit.Named && v.limiter != nil && v.limiter.Binds(s.key), Age: now.Sub(s.joinedAt)})
+			all = append(all, Status{Entry: s.Entry, Load: s.load(now), Ready: s.ready(), Suspect: s.suspect(now), Barred: !v.versionAllowed(s), Limit: s.limit, AtLimit: s.limit.Limited && v.limiter != nil && v.limiter.Binds(s.key), Age: now.Sub(s.joinedAt)})
 		}
 	}
 	slices.SortFunc(all, func(a, b Status) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/backend/view_test.go
+++ b/internal/backend/view_test.go
@@ -33,7 +33,7 @@
 	return choice.ID
 }
 
-func TestOwnZoneFirst(t *testing.T) {
+func TestCallersZoneIsPreferred(t *testing.T) {
 	c := qt.New(t)
 	c.Check(pick(plainView("a", "b"), start), qt.Equals, "a")
 	c.Check(pick(plainView("b"), start), qt.Equals, "b")
@@ -67,7 +67,7 @@
 	c.Check(pick(v, start), qt.Equals, "d")
 }
 
-func TestFailuresAreForgotten(t *testing.T) {
+func TestFailuresDecay(t *testing.T) {
 	c := qt.New(t)
 	v := plainView("a", "b")
 	fail := func(now time.Time) {
@@ -89,9 +89,9 @@
 	c.Check(pick(v, start), qt.Equals, "a")
 }
 
-// lastUse is until when a server may be sent requests of which it was news at the start that it
+// drainDeadline is until when a server may be sent requests of which it was news at the start that it
 // leaves.
-var lastUse = start.Add(defaultDrainBound - maxTransit)
+var drainDeadline = start.Add(defaultDrainBound - maxTransit)
 
 func draining(id string) Entry {
 	e := entry(id, "z-"+id)
@@ -105,37 +105,37 @@
 	v.Put(draining("a"), start)
 	c.Check(pick(v, start), qt.Equals, "b")
 	v.Remove("b", start)
-	c.Check(pick(v, lastUse.Add(-time.Millisecond)), qt.Not(qt.Equals), "", qt.Commentf("both have just left"))
-	c.Check(pick(v, lastUse), qt.Equals, "")
+	c.Check(pick(v, drainDeadline.Add(-time.Millisecond)), qt.Not(qt.Equals), "", qt.Commentf("both have just left"))
+	c.Check(pick(v, drainDeadline), qt.Equals, "")
 }
 
-func TestSecondSignOfLeavingDoesNotExtendUse(t *testing.T) {
+func TestRemovalAfterDrainingDoesNotExtendUse(t *testing.T) {
 	c := qt.New(t)
 	v := plainView("a")
 	v.Put(draining("a"), start)
 	v.Remove("a", start.Add(defaultDrainBound/2))
-	c.Check(pick(v, lastUse), qt.Equals, "")
+	c.Check(pick(v, drainDeadline), qt.Equals, "")
 }
 
 // TestLastResortCountsFromTheStoresWord: not from when this daemon has heard of it.
 func TestLastResortCountsFromTheStoresWord(t *testing.T) {
 	late := Observation{ReceivedAt: start.Add(time.Second), NotBefore: start}
 	for name, leave := range map[string]func(v *View, seen Observation){
-		"drains":              func(v *View, seen Observation) { v.Change([]Entry{draining("a")}, nil, seen) },
-		"gone":                func(v *View, seen Observation) { v.Change(nil, []string{"a"}, seen) },
+		"drains":              func(v *View, seen Observation) { v.Update([]Entry{draining("a")}, nil, seen) },
+		"gone":                func(v *View, seen Observation) { v.Update(nil, []string{"a"}, seen) },
 		"not listed any more": func(v *View, seen Observation) { v.Replace(nil, seen) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			v := plainView("a")
 			leave(v, late)
-			c.Check(pick(v, lastUse.Add(-time.Millisecond)), qt.Equals, "a")
-			c.Check(pick(v, lastUse), qt.Equals, "")
+			c.Check(pick(v, drainDeadline.Add(-time.Millisecond)), qt.Equals, "a")
+			c.Check(pick(v, drainDeadline), qt.Equals, "")
 			v = plainView("a")
 			v.SetDrainBound(5 * time.Second)
 			leave(v, late)
-			c.Check(pick(v, lastUse.Add(3*time.Second-time.Millisecond)), qt.Equals, "a")
-			c.Check(pick(v, lastUse.Add(3*time.Second)), qt.Equals, "")
+			c.Check(pick(v, drainDeadline.Add(3*time.Second-time.Millisecond)), qt.Equals, "a")
+			c.Check(pick(v, drainDeadline.Add(3*time.Second)), qt.Equals, "")
 		})
 	}
 }
@@ -158,10 +158,10 @@
 	v.Put(draining("a"), start)
 	c.Check(choice.MaySend(start), qt.IsFalse, qt.Commentf("there is another one"))
 	v.Remove("b", start)
-	c.Check(choice.MaySend(lastUse.Add(-time.Millisecond)), qt.IsTrue)
-	c.Check(choice.MaySend(lastUse), qt.IsFalse)
-	v.Put(entry("a", "z-a"), lastUse)
-	c.Check(choice.MaySend(lastUse), qt.IsTrue, qt.Commentf("it is back"))
+	c.Check(choice.MaySend(drainDeadline.Add(-time.Millisecond)), qt.IsTrue)
+	c.Check(choice.MaySend(drainDeadline), qt.IsFalse)
+	v.Put(entry("a", "z-a"), drainDeadline)
+	c.Check(choice.MaySend(drainDeadline), qt.IsTrue, qt.Commentf("it is back"))
 }
 
 func TestEntriesThatLapsedInAnOutage(t *testing.T) {
@@ -170,7 +170,7 @@
 	v.StoreReturned(start)
 	v.Replace(nil, Observation{ReceivedAt: start, NotBefore: start.Add(-5 * time.Second)})
 	c.Check(pick(v, start.Add(2*time.Second)), qt.Equals, "a")
-	c.Check(pick(v, start.Add(afterOutage)), qt.Equals, "")
+	c.Check(pick(v, start.Add(outageGrace)), qt.Equals, "")
 }
 
 // TestEntryThatIsGoneSinceTheOutage: it was seen after the store's return, and has left.
@@ -179,18 +179,18 @@
 	v := plainView("a")
 	v.StoreReturned(start.Add(-time.Second))
 	v.Remove("a", start)
-	c.Check(pick(v, lastUse), qt.Equals, "")
+	c.Check(pick(v, drainDeadline), qt.Equals, "")
 }
 
-func TestLoadsOfPeersCount(t *testing.T) {
+func TestPeerLoadsAreCounted(t *testing.T) {
 	c := qt.New(t)
 	v := NewView()
 	v.SetTraits(map[string]Traits{"s": {CacheTokens: 1000}})
 	v.Put(entry("a", "z"), start)
 	v.Put(entry("b", "z"), start)
-	v.SetRemote(map[uint32]Load{KeyOf(Entry{ID: "a"}): {Running: 1, PendingTokens: 5000}}, start)
+	v.SetPeerLoads(map[uint32]Load{KeyOf(Entry{ID: "a"}): {Running: 1, PendingTokens: 5000}}, start)
 	c.Check(pick(v, start), qt.Equals, "b")
-	v.SetRemote(map[uint32]Load{KeyOf(Entry{ID: "b"}): {Running: 1, PendingTokens: 5000}}, start)
+	v.SetPeerLoads(map[uint32]Load{KeyOf(Entry{ID: "b"}): {Running: 1, PendingTokens: 5000}}, start)
 	c.Check(pick(v, start), qt.Equals, "a")
 }
 
@@ -232,27 +232,27 @@
 }
 
 func prompt(i int) Need {
-	return Need{Service: "s", Tokens: 3000, Parts: []Part{{fmt.Sprintf("shared-%d", i), 2500}, {fmt.Sprintf("own-%d", i), 500}}}
+	return Need{Service: "s", PromptTokens: 3000, Parts: []PromptPart{{fmt.Sprintf("shared-%d", i), 2500}, {fmt.Sprintf("own-%d", i), 500}}}
 }
 
-func TestCrowdedHomeIsLeft(t *testing.T) {
+func TestOverloadedHomeIsAvoided(t *testing.T) {
 	c := qt.New(t)
 	v := modelView("a", "b")
 	home, _ := v.Begin(prompt(1), start)
-	v.SetRemote(map[uint32]Load{KeyOf(home.Entry): {PendingTokens: 60000, Running: 20}}, start)
+	v.SetPeerLoads(map[uint32]Load{KeyOf(home.Entry): {PendingTokens: 60000, Running: 20}}, start)
 	other, _ := v.Begin(prompt(1), start)
 	c.Check(other.ID, qt.Not(qt.Equals), home.ID)
-	c.Check(other.Unread, qt.Equals, 3000)
+	c.Check(other.PrefillTokens, qt.Equals, 3000)
 }
 
-func TestCacheForgetsTheLeastRecent(t *testing.T) {
+func TestCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	c := qt.New(t)
 	cache := newPromptCache(1000)
-	cache.add([]Part{{"a", 300}, {"b", 300}})
-	c.Check(cache.prefix([]Part{{"a", 300}, {"b", 300}, {"c", 1}}), qt.Equals, 600)
-	cache.add([]Part{{"d", 300}})
-	c.Check(cache.prefix([]Part{{"a", 300}}), qt.Equals, 0)
-	c.Check(cache.prefix([]Part{{"d", 300}}), qt.Equals, 300)
+	cache.add([]PromptPart{{"a", 300}, {"b", 300}})
+	c.Check(cache.prefix([]PromptPart{{"a", 300}, {"b", 300}, {"c", 1}}), qt.Equals, 600)
+	cache.add([]PromptPart{{"d", 300}})
+	c.Check(cache.prefix([]PromptPart{{"a", 300}}), qt.Equals, 0)
+	c.Check(cache.prefix([]PromptPart{{"d", 300}}), qt.Equals, 300)
 	c.Check(cache.tokens <= cache.limit, qt.IsTrue)
 }
 
@@ -262,13 +262,13 @@
 	c := qt.New(t)
 	told := pace.EngineFigures{First: pace.Figures{Coefficients: []float64{0.5, 1e-5, 1e-4, 0.01, 1e-6}, Seen: 500}}
 	v := NewView()
-	v.Learn(map[string]pace.EngineFigures{"s": told})
+	v.MergeEngineFigures(map[string]pace.EngineFigures{"s": told})
 	v.Put(entry("a", "z"), start)
 	v.SetTraits(map[string]Traits{"s": {CacheTokens: 100_000}})
 	choice, ok := v.Begin(prompt(1), start)
 	c.Assert(ok, qt.IsTrue)
-	c.Check(choice.Learned, qt.IsTrue)
-	c.Check(choice.Own > 450*time.Millisecond, qt.IsTrue, qt.Commentf("%v", choice.Own))
+	c.Check(choice.Calibrated, qt.IsTrue)
+	c.Check(choice.IdleWait > 450*time.Millisecond, qt.IsTrue, qt.Commentf("%v", choice.IdleWait))
 }
 
 // TestSlowServerIsLeft: a server whose first events take several times as long as those
@@ -282,7 +282,7 @@
 		if choice.ID == "a" {
 			took *= 8
 		}
-		choice.Event(now.Add(took))
+		choice.RecordEvent(now.Add(took))
 		choice.End(OutcomeServed, now.Add(took))
 		return choice.ID
 	}
--- a/internal/discovery/demand.go
+++ b/internal/discovery/demand.go
@@ -109,7 +109,7 @@
 	for _, one := range records {
 		at := now.Add(-age(one.AgeMs))
 		_, listed := r.daemons[one.Daemon]
-		if !listed || one.Daemon == r.self || !advice.Valid(one.RequestsPerSecond) || !at.After(r.demands[service][one.Daemon].at) {
+		if !listed || one.Daemon == r.self || !advice.ValidNumber(one.RequestsPerSecond) || !at.After(r.demands[service][one.Daemon].at) {
 			continue
 		}
 		r.setDemand(service, one.Daemon, demand{perSecond: one.RequestsPerSecond, at: at})
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -364,22 +364,22 @@
 
 func (r *Registry) view(s *server, definition *config.Service, promptTokens int, now time.Time) route.Server {
 	view := route.Server{
-		ID:           s.vm.ID,
-		Zone:         s.vm.Zone,
-		Address:      s.vm.Address,
-		PricePerHour: r.index.Price(s.vm.Class, s.vm.Zone, config.Market(s.vm.Market)),
-		Leaving:      !s.takesWork(now) || s.untilAdmitted(now) > 0,
-		Suspect:      now.Before(s.suspectUntil),
-		Running:      s.running,
-		Excess:       s.decayedExcess(now),
-		ServiceTime:  s.serviceTime,
-		MaxBatch:     1,
-		Away:         route.StartAway,
+		ID:               s.vm.ID,
+		Zone:             s.vm.Zone,
+		Address:          s.vm.Address,
+		PricePerHour:     r.index.Price(s.vm.Class, s.vm.Zone, config.Market(s.vm.Market)),
+		Leaving:          !s.takesWork(now) || s.untilAdmitted(now) > 0,
+		Suspect:          now.Before(s.suspectUntil),
+		Running:          s.running,
+		ExcessDelay:      s.decayedExcess(now),
+		ServiceTime:      s.serviceTime,
+		MaxBatch:         1,
+		CrossZoneLatency: route.DefaultCrossZoneLatency,
 	}
 	if definition.Model != nil {
 		view.MaxBatch = definition.Model.MaxBatch
 		view.Queue = readingTime(s.pendingTokens, definition.Model.PrefillRate)
-		view.Own = readingTime(promptTokens, definition.Model.PrefillRate)
+		view.IdleWait = readingTime(promptTokens, definition.Model.PrefillRate)
 	}
 	return view
 }
--- a/internal/discovery/limits.go
+++ b/internal/discovery/limits.go
@@ -79,9 +79,9 @@
 	if s == nil {
 		return false
 	}
-	if a.Rest > 0 && answered.Add(a.Rest).After(s.restUntil) {
-		s.restUntil = answered.Add(a.Rest)
-		r.logger.Info("server declined and asked for rest", "server", s.vm.ID, "service", s.vm.Service, "rest_ms", a.Rest.Milliseconds())
+	if a.RetryAfter > 0 && answered.Add(a.RetryAfter).After(s.restUntil) {
+		s.restUntil = answered.Add(a.RetryAfter)
+		r.logger.Info("server declined and asked for rest", "server", s.vm.ID, "service", s.vm.Service, "rest_ms", a.RetryAfter.Milliseconds())
 	}
 	limited := r.setLimit(s, s.limit.Observe(a, sent, answered), answered)
 	return r.announceLeaving(s, a, answered) || limited
@@ -91,18 +91,18 @@
 func (r *Registry) setLimit(s *server, limit advice.Limit, now time.Time) (changed bool) {
 	before := s.limit
 	s.limit = limit
-	if limit.Same(before) {
+	if limit.Equivalent(before) {
 		return false
 	}
-	if before.Named && !limit.Named {
-		s.liftedAt = limit.At
+	if before.Limited && !limit.Limited {
+		s.liftedAt = limit.ObservedAt
 	}
-	if limit.Named && !before.Named {
+	if limit.Limited && !before.Limited {
 		s.quota = quota{at: now, level: firstLevel(s.vm.ID, r.self)}
 	}
 	r.shareLimit(s, now)
 	r.logger.Info("server's limit changed", "server", s.vm.ID, "service", s.vm.Service,
-		"limited", limit.Named, "requests_per_second", limit.Rate, "limited_before", before.Named, "requests_per_second_before", before.Rate, "own_part", s.quota.rate)
+		"limited", limit.Limited, "requests_per_second", limit.Rate, "limited_before", before.Limited, "requests_per_second_before", before.Rate, "own_part", s.quota.rate)
 	return true
 }
 
@@ -116,7 +116,7 @@
 // rests or is at its limit; the caller holds the lock.
 func (s *server) untilAdmitted(now time.Time) time.Duration {
 	rest := max(0, s.restUntil.Sub(now))
-	if !s.limit.Named {
+	if !s.limit.Limited {
 		return rest
 	}
 	return max(rest, s.quota.wait(now))
@@ -127,7 +127,7 @@
 	if s.untilAdmitted(now) > 0 {
 		return false
 	}
-	if s.limit.Named {
+	if s.limit.Limited {
 		s.quota.level--
 	}
 	return true
@@ -158,11 +158,11 @@
 	var records []AdviceRecord
 	reported := map[string]bool{}
 	for _, s := range r.servers {
-		limited := s.limit.Named || now.Sub(s.liftedAt) < liftedFor
+		limited := s.limit.Limited || now.Sub(s.liftedAt) < liftedFor
 		if !limited && !s.reportsLeaving(now) {
 			continue
 		}
-		record := AdviceRecord{Server: s.vm.ID, Named: s.limit.Named, RequestsPerSecond: s.limit.Rate, AgeMs: now.Sub(s.limit.At).Milliseconds()}
+		record := AdviceRecord{Server: s.vm.ID, Named: s.limit.Limited, RequestsPerSecond: s.limit.Rate, AgeMs: now.Sub(s.limit.ObservedAt).Milliseconds()}
 		if limited && !reported[s.vm.Service] {
 			record.Demands, reported[s.vm.Service] = r.reportDemands(s.vm.Service, now), true
 		}
@@ -194,11 +194,11 @@
 
 // mergeLimit merges the limit of a record; the caller holds the lock.
 func (r *Registry) mergeLimit(s *server, record AdviceRecord, now time.Time) (changed bool) {
-	if !advice.Valid(record.RequestsPerSecond) {
+	if !advice.ValidNumber(record.RequestsPerSecond) {
 		return false
 	}
-	limit := advice.Limit{Rate: record.RequestsPerSecond, Named: record.Named, At: now.Add(-age(record.AgeMs))}
-	if limit.Same(s.limit) && limit.At.Before(s.limit.At.Add(sameSighting)) {
+	limit := advice.Limit{Rate: record.RequestsPerSecond, Limited: record.Named, ObservedAt: now.Add(-age(record.AgeMs))}
+	if limit.Equivalent(s.limit) && limit.ObservedAt.Before(s.limit.ObservedAt.Add(sameSighting)) {
 		return false
 	}
 	return r.setLimit(s, s.limit.Merge(limit), now)
--- a/internal/discovery/limits_test.go
+++ b/internal/discovery/limits_test.go
@@ -217,8 +217,8 @@
 func TestServersThatRestAreUsedAgainAfterwards(t *testing.T) {
 	c := qt.New(t)
 	all := deployment(2, 1)
-	all[0].Advised("s-0", advice.Advice{Rest: 3 * time.Second}, start, start)
-	all[0].Advised("s-0", advice.Advice{Rest: time.Second}, start, start.Add(100*time.Millisecond))
+	all[0].Advised("s-0", advice.Advice{RetryAfter: 3 * time.Second}, start, start)
+	all[0].Advised("s-0", advice.Advice{RetryAfter: time.Second}, start, start.Add(100*time.Millisecond))
 	for ms := range 30 {
 		c.Check(acquires(all[0], start.Add(time.Duration(ms)*100*time.Millisecond)), qt.IsFalse)
 	}
--- a/internal/discovery/sharing.go
+++ b/internal/discovery/sharing.go
@@ -35,7 +35,7 @@
 // the caller holds the lock.
 func (r *Registry) shareLimits(now time.Time) {
 	for _, s := range r.servers {
-		if s.limit.Named {
+		if s.limit.Limited {
 			r.shareLimit(s, now)
 		}
 	}
--- a/internal/experiment/callers.go
+++ b/internal/experiment/callers.go
@@ -55,12 +55,12 @@
 	r.zone = r.daemon.zone
 	for level, shared := range kind.Shared {
 		id := fmt.Sprintf("%s/%d/%d", kind.Name, level, w.random.IntN(shared.Count))
-		r.parts = append(r.parts, backend.Part{ID: id, Tokens: shared.Tokens})
+		r.parts = append(r.parts, backend.PromptPart{ID: id, Tokens: shared.Tokens})
 		r.tokens += shared.Tokens
 	}
 	own := int(kind.OwnTokens * math.Exp(kind.OwnSpread*w.random.NormFloat64()))
 	own = max(1, min(own, w.day.Engine.MemoryTokens/4))
-	r.parts = append(r.parts, backend.Part{ID: fmt.Sprintf("own/%d", w.random.Uint64()), Tokens: own})
+	r.parts = append(r.parts, backend.PromptPart{ID: fmt.Sprintf("own/%d", w.random.Uint64()), Tokens: own})
 	r.tokens += own
 	r.output = 1 + int(w.random.ExpFloat64()*kind.Events*float64(w.day.Engine.EventTokens))
 	return r
@@ -134,7 +134,7 @@
 
 // noteRead counts the tokens that an engine reads, and those of shared parts
 // that some engine has read lately.
-func (w *world) noteRead(parts []backend.Part, kept int) {
+func (w *world) noteRead(parts []backend.PromptPart, kept int) {
 	at := 0
 	for i, p := range parts {
 		at += p.Tokens
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -83,7 +83,7 @@
 }
 
 // keeps returns the leading tokens of a prompt that the engine keeps.
-func (e *engine) keeps(parts []backend.Part) int {
+func (e *engine) keeps(parts []backend.PromptPart) int {
 	tokens := 0
 	for _, p := range parts {
 		if !e.cache.Contains(p.ID) {
@@ -157,7 +157,7 @@
 }
 
 // keep caches the parts of a prompt and gives up the least recently used.
-func (e *engine) keep(parts []backend.Part) {
+func (e *engine) keep(parts []backend.PromptPart) {
 	for _, p := range parts {
 		if _, known := e.cache.Get(p.ID); known {
 			continue
@@ -199,12 +199,12 @@
 func (e *engine) token(j *job, now time.Time) {
 	switch {
 	case j.made == 1:
-		j.choice.Event(now)
+		j.choice.RecordEvent(now)
 		e.world.result.firstEvent(j.request, now)
 	case (j.made-1)%e.world.day.Engine.EventTokens != 0 && j.made != j.wanted:
 		return
 	default:
-		j.choice.Event(now)
+		j.choice.RecordEvent(now)
 		j.late = j.late || now.Sub(j.lastEvent) > j.kind.Gap.Std()
 	}
 	j.lastEvent = now
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -60,8 +60,8 @@
 	now := d.world.now
 	age := now.Sub(r.arrived)
 	need := backend.Need{
-		Service: service, Zone: d.zone, Tokens: r.tokens, Parts: r.parts, Target: r.kind.Target.Std(),
-		Draw: d.world.random.Uint64(), Answer: pace.Answer{Allowed: r.output},
+		Service: service, Zone: d.zone, PromptTokens: r.tokens, Parts: r.parts, Target: r.kind.Target.Std(),
+		SampleSeed: d.world.random.Uint64(), Answer: pace.Answer{Allowed: r.output},
 	}
 	need.Deferred = p.choose == nil && !p.anyOrder && route.Overdue(age, need.Target)
 	r.deferred = need.Deferred
@@ -70,7 +70,7 @@
 		if len(ready) == 0 {
 			return nil, "", false
 		}
-		need.Only = p.choose(d, r, ready)
+		need.ServerID = p.choose(d, r, ready)
 	}
 	choice, ok = d.view.Begin(need, now)
 	if !ok {
@@ -85,8 +85,8 @@
 	if p.anyOrder {
 		age = 0
 	}
-	timing := route.Timing{Age: age, Wait: choice.Wait, Own: choice.Own, Target: need.Target, Left: r.kind.Limit.Std() - age}
-	if choice.Learned && timing.Refuse() {
+	timing := route.Timing{Age: age, Wait: choice.Wait, IdleWait: choice.IdleWait, Target: need.Target, Remaining: r.kind.Limit.Std() - age}
+	if choice.Calibrated && timing.ShouldRefuse() {
 		choice.End(backend.OutcomeNeutral, now)
 		return nil, "", false
 	}
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -35,7 +35,7 @@
 	zone   string
 	daemon *daemon
 	tokens int
-	parts  []backend.Part
+	parts  []backend.PromptPart
 	output int
 	// arrived is the caller's first sending; tries counts them.
 	arrived time.Time
@@ -160,7 +160,7 @@
 		for key, load := range own[i] {
 			others[key] = plus(others[key], load, -1)
 		}
-		d.view.SetRemote(others, w.now)
+		d.view.SetPeerLoads(others, w.now)
 	}
 }
 
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -35,7 +35,7 @@
 		failed.answered = answeredBadly
 		return failed
 	}
-	choice.Event(time.Now())
+	choice.RecordEvent(time.Now())
 	r.start(answer)
 	if err := r.reply.Write(held); err != nil {
 		return r.callerLeft()
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -70,7 +70,7 @@
 
 // notSent ends an attempt that did not reach its server.
 func (r *run) notSent(ctx context.Context, choice *backend.Choice, err error) result {
-	choice.NotSent()
+	choice.RefundAdmission()
 	r.unsent++
 	if errors.Is(err, upstream.ErrCalledOff) {
 		return r.ended(request.StepNotSent, backend.OutcomeNeutral, "left")
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -54,7 +54,7 @@
 	Tokens       int
 	MaxOutput    int
 	LikelyOutput int
-	Parts        []backend.Part
+	Parts        []backend.PromptPart
 }
 
 // Deadline returns when the caller must have its final answer.
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -233,7 +233,7 @@
 		return
 	}
 	r.options.Quarantine.Broke(watch.Server{
-		Key: quarantine.Server(backend.KeyOf(server)), ID: server.ID, Service: server.Service, BornMs: server.BornMs,
+		Key: quarantine.Server(backend.KeyOf(server)), ID: server.ID, Service: server.Service, BornMs: server.StartTimeMs,
 		Ended: func(ctx context.Context) bool { return r.options.Backend.Ended(ctx, server) },
 	}, quarantine.Lost{Content: r.content, Sent: sent}, result.restarted, at)
 }
@@ -269,13 +269,13 @@
 		}
 		r.ask(choice, now)
 		if refusal := r.tooLate(choice, now); refusal != nil {
-			choice.NotSent()
+			choice.RefundAdmission()
 			choice.End(backend.OutcomeNeutral, now)
 			r.note(choice, "not-tried", now, now)
 			return r.giveUp(ctx, refusal)
 		}
-		if choice.Large && r.options.Notice != nil {
-			r.options.Notice(choice.Entry, choice.Unread)
+		if choice.LongPrefill && r.options.Notice != nil {
+			r.options.Notice(choice.Entry, choice.PrefillTokens)
 		}
 		result := r.try(ctx, choice)
 		ended := time.Now()
@@ -296,7 +296,7 @@
 
 // noServer refuses a call for which no server may be picked.
 func (r *run) noServer(now time.Time) *Refusal {
-	wait, found := r.options.View.Again(r.need(), now)
+	wait, found := r.options.View.RetryAfter(r.need(), now)
 	if !found {
 		return &Refusal{Status: http.StatusServiceUnavailable, Reason: "service has no backend server", RetryAfter: retryNoServer}
 	}
@@ -315,14 +315,14 @@
 // tooLate refuses a call whose first answer would come so late that another
 // caller is better served by the same work.
 func (r *run) tooLate(choice *backend.Choice, now time.Time) *Refusal {
-	if r.call.Prompt == nil || r.mayHaveRun() || !choice.Learned {
+	if r.call.Prompt == nil || r.mayHaveRun() || !choice.Calibrated {
 		return nil
 	}
 	timing := route.Timing{
-		Age: r.age + now.Sub(r.call.Arrived), Wait: choice.Wait, Own: choice.Own,
-		Target: r.call.Route.Target, Left: r.call.CallerDeadline().Sub(now),
+		Age: r.age + now.Sub(r.call.Arrived), Wait: choice.Wait, IdleWait: choice.IdleWait,
+		Target: r.call.Route.Target, Remaining: r.call.CallerDeadline().Sub(now),
 	}
-	if !timing.Refuse() {
+	if !timing.ShouldRefuse() {
 		return nil
 	}
 	return &Refusal{
@@ -336,11 +336,11 @@
 func (r *run) overdue() bool { return route.Overdue(r.age, r.call.Route.Target) }
 
 func (r *run) need() backend.Need {
-	need := backend.Need{Service: r.call.Service, Zone: r.options.Zone, Target: r.call.Route.Target, Tried: r.tried, Candidate: r.candidate, Draw: xxhash.Sum64String(r.call.ID)}
+	need := backend.Need{Service: r.call.Service, Zone: r.options.Zone, Target: r.call.Route.Target, Tried: r.tried, Candidate: r.candidate, SampleSeed: xxhash.Sum64String(r.call.ID)}
 	need.Final = r.sends+1 >= r.call.Route.MaxAttempts
 	if p := r.call.Prompt; p != nil {
 		need.Deferred = r.overdue()
-		need.Tokens, need.Parts, need.Answer, need.Resumed = p.Tokens, p.Parts, pace.Answer{Allowed: p.MaxOutput, Hinted: p.LikelyOutput}, r.after != ""
+		need.PromptTokens, need.Parts, need.Answer, need.Resumed = p.Tokens, p.Parts, pace.Answer{Allowed: p.MaxOutput, Hinted: p.LikelyOutput}, r.after != ""
 	}
 	return need
 }
--- a/internal/forward/record.go
+++ b/internal/forward/record.go
@@ -32,7 +32,7 @@
 	r.history = append(r.history, attempted{
 		Server: choice.ID, Zone: choice.Zone, Result: what,
 		AtMS: begun.Sub(r.call.Arrived).Milliseconds(), TookMS: ended.Sub(begun).Milliseconds(),
-		WaitMS: choice.Wait.Milliseconds(), OwnMS: choice.Own.Milliseconds(), Learned: choice.Learned, Unread: choice.Unread, Running: choice.Running,
+		WaitMS: choice.Wait.Milliseconds(), OwnMS: choice.IdleWait.Milliseconds(), Learned: choice.Calibrated, Unread: choice.PrefillTokens, Running: choice.Running,
 	})
 }
 
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -69,7 +69,7 @@
 	if err := r.step(request.StepToken); err != nil {
 		return err
 	}
-	choice.Event(now)
+	choice.RecordEvent(now)
 	id, numbered := eventID(event)
 	if numbered {
 		switch fresh, err := r.follows(id); {
--- a/internal/forward/version.go
+++ b/internal/forward/version.go
@@ -44,7 +44,7 @@
 	if first, each := choice.Timing(); first > 0 {
 		answer.Took, answer.EachEvent = first, each
 	}
-	if choice.Learned {
+	if choice.Calibrated {
 		answer.Expected = choice.Wait
 	}
 	r.options.RollOuts.Answered(answer)
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -20,20 +20,20 @@
 	Suspect bool
 	// Queue is the time until the prompts that are waiting there are read.
 	Queue time.Duration
-	// Own is the time to the first token of the attempt itself, without a queue.
-	Own time.Duration
+	// IdleWait is the time to the first token of the attempt itself, without a queue.
+	IdleWait time.Duration
 	// Running is the number of attempts that this daemon has on the server.
 	Running int
 	// MaxBatch is the number of attempts that the server runs at once.
 	MaxBatch int
-	// Excess is how much longer than predicted recent first tokens took: the
+	// ExcessDelay is how much longer than predicted recent first tokens took: the
 	// work of other daemons, seen from here.
-	Excess time.Duration
+	ExcessDelay time.Duration
 	// ServiceTime is the mean time of an attempt.
 	ServiceTime time.Duration
-	// Away is the network time that a server of another availability zone takes longer
+	// CrossZoneLatency is the network time that a server of another availability zone takes longer
 	// than one of the caller's own.
-	Away time.Duration
+	CrossZoneLatency time.Duration
 }
 
 // Need is what an attempt asks of a server.
@@ -56,18 +56,18 @@
 	Wait time.Duration
 }
 
-// StartAway is taken for Away until connections have shown it: zones of one region lie
+// DefaultCrossZoneLatency is taken for Away until connections have shown it: zones of one region lie
 // half a millisecond to two apart, each way.
-const StartAway = 2 * time.Millisecond
+const DefaultCrossZoneLatency = 2 * time.Millisecond
 
 // PredictWait returns the expected time to the first token on a server.
 func PredictWait(server *Server, need *Need) time.Duration {
-	wait := server.Excess + server.Queue + server.Own
+	wait := server.ExcessDelay + server.Queue + server.IdleWait
 	if over := server.Running + 1 - server.MaxBatch; server.MaxBatch > 0 && over > 0 {
 		wait += time.Duration(over) * server.ServiceTime / time.Duration(server.MaxBatch)
 	}
 	if server.Zone != need.Zone {
-		wait += server.Away
+		wait += server.CrossZoneLatency
 	}
 	return wait
 }
@@ -77,10 +77,10 @@
 	// above which a request is better refused: predictions are behind by what other
 	// daemons have sent lately, and a late answer earns a tenth.
 	lateFactor = 0.6
-	// waitFactor times the target is the wait that is never a reason to refuse. A
+	// toleratedQueueFactor times the target is the wait that is never a reason to refuse. A
 	// request whose own prompt takes longer than the target is late on any engine, and
 	// refusing it would shut out a size; it is served while there is no queue.
-	waitFactor = 0.2
+	toleratedQueueFactor = 0.2
 )
 
 // TooLate reports whether a first event at that time after the request's arrival
@@ -89,13 +89,13 @@
 // take on an idle server.
 func TooLate(first, own, target time.Duration) bool {
 	wait := first - own
-	return first > time.Duration(lateFactor*float64(target)) && wait > time.Duration(waitFactor*float64(target))
+	return first > time.Duration(lateFactor*float64(target)) && wait > time.Duration(toleratedQueueFactor*float64(target))
 }
 
-// leftFactor times the time that a caller has left is the predicted time to the first
+// remainingTimeFactor times the time that a caller has left is the predicted time to the first
 // event up to which a request that is late already waits: the rest of the answer needs
 // time too.
-const leftFactor = 0.5
+const remainingTimeFactor = 0.5
 
 // Timing is what is known of a request's time when a server has been picked for it.
 type Timing struct {
@@ -103,23 +103,23 @@
 	Age time.Duration
 	// Wait is the predicted time to the first event from now, Own the part of it that the
 	// request would take on an idle server.
-	Wait, Own time.Duration
+	Wait, IdleWait time.Duration
 	// Target is the time to the first event that the route asks for, Left how much longer
 	// the caller waits.
-	Target, Left time.Duration
+	Target, Remaining time.Duration
 }
 
 // Overdue reports whether a caller first tried so long ago that its answer is late
 // whatever happens. It goes behind those whose answers may be in time.
 func Overdue(age, target time.Duration) bool { return age > target }
 
-// Refuse reports whether a request is better refused at once. One that is overdue is
+// ShouldRefuse reports whether a request is better refused at once. One that is overdue is
 // served as long as its caller waits for the rest of the answer.
-func (t Timing) Refuse() bool {
+func (t Timing) ShouldRefuse() bool {
 	if Overdue(t.Age, t.Target) {
-		return t.Wait > time.Duration(leftFactor*float64(t.Left))
+		return t.Wait > time.Duration(remainingTimeFactor*float64(t.Remaining))
 	}
-	return TooLate(t.Age+t.Wait, t.Age+t.Own, t.Target)
+	return TooLate(t.Age+t.Wait, t.Age+t.IdleWait, t.Target)
 }
 
 // Pick returns the server with the least predicted wait, in the caller's own
@@ -135,7 +135,7 @@
 			continue
 		}
 		wait := PredictWait(server, &need)
-		if best < 0 || better(server, wait, &servers[best], bestWait, &need) {
+		if best < 0 || preferred(server, wait, &servers[best], bestWait, &need) {
 			best, bestWait = i, wait
 		}
 	}
@@ -145,8 +145,8 @@
 	return Choice{Server: servers[best], Wait: bestWait}, true
 }
 
-// better compares a candidate with the best so far.
-func better(a *Server, waitA time.Duration, b *Server, waitB time.Duration, need *Need) bool {
+// preferred compares a candidate with the best so far.
+func preferred(a *Server, waitA time.Duration, b *Server, waitB time.Duration, need *Need) bool {
 	if a.Suspect != b.Suspect {
 		return b.Suspect
 	}
@@ -154,7 +154,7 @@
 		return triedB
 	}
 	if home := a.Zone == need.Zone; !need.AnyZone && home != (b.Zone == need.Zone) {
-		return preferHome(home, waitA, waitB, need.Target)
+		return preferOwnZone(home, waitA, waitB, need.Target)
 	}
 	if waitA != waitB {
 		return waitA < waitB
@@ -168,8 +168,8 @@
 	return a.ID < b.ID
 }
 
-// preferHome keeps an attempt in its own zone while the target is met there.
-func preferHome(aIsHome bool, waitA, waitB, target time.Duration) bool {
+// preferOwnZone keeps an attempt in its own zone while the target is met there.
+func preferOwnZone(aIsHome bool, waitA, waitB, target time.Duration) bool {
 	comfort := target / 2
 	if aIsHome {
 		return waitA <= comfort || waitA <= waitB
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -11,12 +11,12 @@
 	_ "github.com/plankridge/plankridge/internal/standin/fixedseed"
 )
 
-func TestPickPrefersHomeThenWaitThenPrice(t *testing.T) {
+func TestPickPrefersOwnZoneThenWaitThenPrice(t *testing.T) {
 	c := qt.New(t)
 	need := Need{Zone: "a", Target: time.Second}
 	const own = 100 * time.Millisecond
-	home := Server{ID: "1", Zone: "a", Own: own, MaxBatch: 8}
-	away := Server{ID: "2", Zone: "b", Own: own, MaxBatch: 8}
+	home := Server{ID: "1", Zone: "a", IdleWait: own, MaxBatch: 8}
+	away := Server{ID: "2", Zone: "b", IdleWait: own, MaxBatch: 8}
 	pick := func(servers ...Server) string {
 		choice, ok := Pick(servers, need)
 		c.Assert(ok, qt.IsTrue)
@@ -34,8 +34,8 @@
 	away.Leaving = true
 	_, ok := Pick([]Server{home, away}, need)
 	c.Check(ok, qt.IsFalse)
-	cheap := Server{ID: "9", Zone: "a", Own: own, MaxBatch: 8, PricePerHour: 1}
-	dear := Server{ID: "3", Zone: "a", Own: own, MaxBatch: 8, PricePerHour: 3}
+	cheap := Server{ID: "9", Zone: "a", IdleWait: own, MaxBatch: 8, PricePerHour: 1}
+	dear := Server{ID: "3", Zone: "a", IdleWait: own, MaxBatch: 8, PricePerHour: 3}
 	c.Check(pick(dear, cheap), qt.Equals, "9")
 }
 
@@ -50,7 +50,7 @@
 				Queue:    time.Duration(rapid.IntRange(0, 1e6).Draw(t, "queue")) * time.Microsecond,
 				Running:  rapid.IntRange(0, 64).Draw(t, "running"),
 				MaxBatch: 16,
-				Own:      12 * time.Millisecond,
+				IdleWait: 12 * time.Millisecond,
 			}
 		})).Draw(t, "servers")
 		choice, ok := Pick(servers, Need{Zone: "a", Target: time.Second})
@@ -100,14 +100,14 @@
 // told at once that it would be late.
 func TestOverdueRequestsWaitAndOthersAreRefused(t *testing.T) {
 	c := qt.New(t)
-	fresh := Timing{Wait: 400 * time.Millisecond, Own: 50 * time.Millisecond, Target: 500 * time.Millisecond, Left: 10 * time.Second}
-	c.Check(fresh.Refuse(), qt.IsTrue)
+	fresh := Timing{Wait: 400 * time.Millisecond, IdleWait: 50 * time.Millisecond, Target: 500 * time.Millisecond, Remaining: 10 * time.Second}
+	c.Check(fresh.ShouldRefuse(), qt.IsTrue)
 	again := fresh
 	again.Age = time.Second
-	c.Check(again.Refuse(), qt.IsFalse)
-	again.Left = 700 * time.Millisecond
-	c.Check(again.Refuse(), qt.IsTrue)
+	c.Check(again.ShouldRefuse(), qt.IsFalse)
+	again.Remaining = 700 * time.Millisecond
+	c.Check(again.ShouldRefuse(), qt.IsTrue)
 	young := fresh
 	young.Wait, young.Age = 100*time.Millisecond, 300*time.Millisecond
-	c.Check(young.Refuse(), qt.IsFalse, qt.Commentf("its own time since the first try is no queue"))
+	c.Check(young.ShouldRefuse(), qt.IsFalse, qt.Commentf("its own time since the first try is no queue"))
 }
--- a/internal/router/consume.go
+++ b/internal/router/consume.go
@@ -116,7 +116,7 @@
 	entries, left, broken := s.listing.merge(c, now)
 	at.to = max(c.upTo, s.listing.revision)
 	// Under the lock, so that the view gets changes in the order of the list.
-	ended := s.view.Change(entries, left, s.observation(now))
+	ended := s.view.Update(entries, left, s.observation(now))
 	s.mu.Unlock()
 	for _, err := range broken {
 		s.router.bad.note(err, now)
@@ -147,7 +147,7 @@
 	}
 	for _, e := range entries {
 		s.router.logger.Info("server listed", "server", e.ID, "service", e.Service, "zone", e.Zone,
-			"draining", e.Draining, "reclaimable", e.Reclaimable, "version", e.Version, "born_ms", e.BornMs, "from", at.from, "revision_before", at.before, "revision", at.to)
+			"draining", e.Draining, "reclaimable", e.Reclaimable, "version", e.Version, "born_ms", e.StartTimeMs, "from", at.from, "revision_before", at.before, "revision", at.to)
 	}
 	for _, id := range gone {
 		s.router.logger.Info("server gone from the list", "server", id, "from", at.from, "revision_before", at.before, "revision", at.to)
@@ -172,7 +172,7 @@
 func (s *state) restarted(ended []backend.Entry) {
 	for _, e := range ended {
 		s.router.pool.Forget(e.Address)
-		s.router.logger.Info("server has started again", "server", e.ID, "service", e.Service, "ended_born_ms", e.BornMs)
+		s.router.logger.Info("server has started again", "server", e.ID, "service", e.Service, "ended_born_ms", e.StartTimeMs)
 	}
 }
 
--- a/internal/router/leavingnotices.go
+++ b/internal/router/leavingnotices.go
@@ -21,7 +21,7 @@
 func encodeLeavingNotices(notices []advice.LeavingNotice, now time.Time) []*gossippb.ServerLeaving {
 	var leaving []*gossippb.ServerLeaving
 	for _, d := range notices {
-		leaving = append(leaving, &gossippb.ServerLeaving{Server: d.Server, AgeMs: now.Sub(d.At).Milliseconds()})
+		leaving = append(leaving, &gossippb.ServerLeaving{Server: d.Server, AgeMs: now.Sub(d.ReceivedAt).Milliseconds()})
 	}
 	return leaving
 }
@@ -29,7 +29,7 @@
 func decodeLeavingNotices(leaving []*gossippb.ServerLeaving, now time.Time) []advice.LeavingNotice {
 	var notices []advice.LeavingNotice
 	for _, l := range leaving {
-		notices = append(notices, advice.LeavingNotice{Server: l.GetServer(), At: now.Add(-millis(l.GetAgeMs()))})
+		notices = append(notices, advice.LeavingNotice{Server: l.GetServer(), ReceivedAt: now.Add(-millis(l.GetAgeMs()))})
 	}
 	return notices
 }
--- a/internal/router/listing.go
+++ b/internal/router/listing.go
@@ -117,7 +117,7 @@
 	one := listed{spec: object.Spec, revision: object.Revision, entry: entry, err: err}
 	if err == nil {
 		one.digest = xxhash.Sum64String(object.Name + "|" + entry.Address + "|" + entry.Version + "|" +
-			strconv.FormatInt(entry.BornMs, 16) + "|" + strconv.FormatBool(entry.Draining))
+			strconv.FormatInt(entry.StartTimeMs, 16) + "|" + strconv.FormatBool(entry.Draining))
 	}
 	l.entries[object.Name] = one
 	l.digest += one.digest
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -17,7 +17,7 @@
 	reach, _ := s.reach(now)
 	memory := lease.Snapshot{
 		Daemons: reach.Known, WrittenAtMs: standing.WrittenAtMs, RecentUses: standing.RecentUses, DemandRates: standing.DemandRates, Warmup: standing.Warmup,
-		EngineFigures: s.view.Paces(), FirstTryLimits: s.limits.Usual(), RequestWindows: s.ledger.All(windowsTold),
+		EngineFigures: s.view.EngineFigures(), FirstTryLimits: s.limits.Usual(), RequestWindows: s.ledger.All(windowsTold),
 	}
 	if uses, known := s.limiter.uses(); known {
 		memory.WrittenAtMs, memory.RecentUses, memory.DemandRates, memory.Warmup = now.UnixMilli(), uses, s.limiter.asked(), s.limiter.warmup()
@@ -34,7 +34,7 @@
 // workspaces have used. listed is the number of daemons in the store's list, which may be short.
 func (s *state) recall(memory lease.Snapshot, listed int, now time.Time) bool {
 	daemons := max(listed, memory.Daemons)
-	s.view.Learn(memory.EngineFigures)
+	s.view.MergeEngineFigures(memory.EngineFigures)
 	s.limits.Recall(memory.FirstTryLimits)
 	// Counts only grow: where daemons that are still there know more, theirs stand.
 	s.ledger.HeardAll(memory.RequestWindows)
@@ -69,7 +69,7 @@
 // logPaces writes down what was learned of the engines and what is asked of them, from
 // which predictions and orders are made.
 func (s *state) logPaces() {
-	for service, learned := range s.view.Paces() {
+	for service, learned := range s.view.EngineFigures() {
 		load := s.Demand(service)
 		s.router.logger.Info("pace of engines", "service", service,
 			"first_seconds", learned.First.Coefficients, "first_seen", learned.First.Seen,
--- a/internal/router/memory_test.go
+++ b/internal/router/memory_test.go
@@ -74,7 +74,7 @@
 		before.ledger.Began("w", now)
 	}
 	before.view.SetTraits(map[string]backend.Traits{"s": {CacheTokens: 1000}})
-	before.view.Learn(map[string]pace.EngineFigures{"s": {First: pace.Figures{Coefficients: []float64{0.5}, Seen: 100}}})
+	before.view.MergeEngineFigures(map[string]pace.EngineFigures{"s": {First: pace.Figures{Coefficients: []float64{0.5}, Seen: 100}}})
 	raw, err := json.Marshal(lease.Record{Snapshot: before.remember(lease.Snapshot{})})
 	c.Assert(err, qt.IsNil)
 	var record lease.Record
@@ -83,9 +83,9 @@
 	c.Check(after.ledger.Sum(window), qt.DeepEquals, usage.Counts{"w": 3})
 	after.view.SetTraits(map[string]backend.Traits{"s": {CacheTokens: 1000}})
 	after.view.Put(backend.Entry{ID: "a", Service: "s", Slots: 1}, now)
-	choice, ok := after.view.Begin(backend.Need{Service: "s", Tokens: 1}, now)
+	choice, ok := after.view.Begin(backend.Need{Service: "s", PromptTokens: 1}, now)
 	c.Assert(ok, qt.IsTrue)
-	c.Check(choice.Learned, qt.IsTrue)
+	c.Check(choice.Calibrated, qt.IsTrue)
 	// What is counted by others meanwhile is not added to it.
 	after.ledger.Began("w", now)
 	c.Check(after.ledger.Sum(window), qt.DeepEquals, usage.Counts{"w": 3})
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -107,7 +107,7 @@
 			state = "suspect"
 		}
 		counts[group{s.Service, state}]++
-		if s.Limit.Named {
+		if s.Limit.Limited {
 			limited[s.Service]++
 		}
 	}
--- a/internal/router/rollouts.go
+++ b/internal/router/rollouts.go
@@ -108,7 +108,7 @@
 	}
 	r.nameVersions(now)
 	for service, v := range r.board.Versions(now) {
-		r.state.view.SetVersions(service, backend.Versions{Checked: true, Stable: v.Stable, Candidate: v.Candidate, All: v.All})
+		r.state.view.SetVersions(service, backend.Versions{Enforced: true, Stable: v.Stable, Candidate: v.Candidate, AllCandidates: v.All})
 	}
 }
 
@@ -142,7 +142,7 @@
 // askForOrders lists the roll-outs at once where servers of services that have no version yet are
 // newer than the orders that are known: the watch reports at its end only that there are no others.
 func (r *Router) askForOrders(unnamed map[string]map[string]int) {
-	newest := r.state.view.NewestOf(func(service string) bool { return unnamed[service] != nil })
+	newest := r.state.view.NewestRevision(func(service string) bool { return unnamed[service] != nil })
 	asked := r.ordersAsked.Load()
 	if newest <= max(asked, r.board.ReadUpTo()) || !r.following.Load() {
 		return
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -139,9 +139,9 @@
 	r.board = rollout.New(rollout.Bounds{Share: s.Bounds.RollOutShare, Slack: s.Bounds.RollOutSlack, Stop: s.Bounds.RollOutStop.Std()})
 	r.state = newState(r)
 	if r.board.Enabled() {
-		r.state.view.CheckVersions()
+		r.state.view.EnforceVersions()
 	}
-	r.pool.OnDial = r.state.view.Dialed
+	r.pool.OnDial = r.state.view.RecordDial
 	if err := r.listen(options.Network); err != nil {
 		r.closeListeners()
 		return nil, err
--- a/internal/router/serverlimits.go
+++ b/internal/router/serverlimits.go
@@ -67,7 +67,7 @@
 	changed := s.view.MergeLimits(decodeLimits(status.GetLimits(), now))
 	for _, c := range changed {
 		s.router.logger.Info("server's limit changed", "server", c.ID, "service", c.Service, "zone", c.Zone,
-			"limited", c.Limit.Named, "requests_per_second", c.Limit.Rate, "limited_before", c.Before.Named, "requests_per_second_before", c.Before.Rate, "from", status.GetVm())
+			"limited", c.Limit.Limited, "requests_per_second", c.Limit.Rate, "limited_before", c.Before.Limited, "requests_per_second_before", c.Before.Rate, "from", status.GetVm())
 	}
 	if len(changed) > 0 {
 		s.router.node.TriggerReport()
@@ -86,25 +86,25 @@
 	maps.DeleteFunc(sums.Refused, ended)
 }
 
-func encodeLimits(records []advice.Record, now time.Time) []*gossippb.ServerLimit {
+func encodeLimits(records []advice.LimitRecord, now time.Time) []*gossippb.ServerLimit {
 	var limits []*gossippb.ServerLimit
 	for _, r := range records {
 		limits = append(limits, &gossippb.ServerLimit{
-			Server: r.Server, Named: r.Named, RequestsPerSecond: r.Rate, AgeMs: now.Sub(r.At).Milliseconds(),
+			Server: r.Server, Named: r.Limited, RequestsPerSecond: r.Rate, AgeMs: now.Sub(r.ObservedAt).Milliseconds(),
 		})
 	}
 	return limits
 }
 
 // decodeLimits decodes what encodeLimits made. Rates that no server can name are left out.
-func decodeLimits(limits []*gossippb.ServerLimit, now time.Time) []advice.Record {
-	var records []advice.Record
+func decodeLimits(limits []*gossippb.ServerLimit, now time.Time) []advice.LimitRecord {
+	var records []advice.LimitRecord
 	for _, l := range limits {
-		if !advice.Valid(l.GetRequestsPerSecond()) {
+		if !advice.ValidNumber(l.GetRequestsPerSecond()) {
 			continue
 		}
-		limit := advice.Limit{Rate: l.GetRequestsPerSecond(), Named: l.GetNamed(), At: now.Add(-millis(l.GetAgeMs()))}
-		records = append(records, advice.Record{Server: l.GetServer(), Limit: limit})
+		limit := advice.Limit{Rate: l.GetRequestsPerSecond(), Limited: l.GetNamed(), ObservedAt: now.Add(-millis(l.GetAgeMs()))}
+		records = append(records, advice.LimitRecord{Server: l.GetServer(), Limit: limit})
 	}
 	return records
 }
--- a/internal/router/serverlimits_test.go
+++ b/internal/router/serverlimits_test.go
@@ -16,14 +16,14 @@
 func TestLimitsOnTheWire(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	limited := advice.Record{Server: 7, Limit: advice.Limit{Rate: 1.2, Named: true, At: now.Add(-time.Second)}}
-	lifted := advice.Record{Server: 8, Limit: advice.Limit{At: now}}
-	c.Check(decodeLimits(encodeLimits([]advice.Record{limited, lifted}, now), now), qt.DeepEquals, []advice.Record{limited, lifted})
+	limited := advice.LimitRecord{Server: 7, Limit: advice.Limit{Rate: 1.2, Limited: true, ObservedAt: now.Add(-time.Second)}}
+	lifted := advice.LimitRecord{Server: 8, Limit: advice.Limit{ObservedAt: now}}
+	c.Check(decodeLimits(encodeLimits([]advice.LimitRecord{limited, lifted}, now), now), qt.DeepEquals, []advice.LimitRecord{limited, lifted})
 	for _, rate := range []float64{-1, math.NaN(), math.Inf(1)} {
 		c.Check(decodeLimits([]*gossippb.ServerLimit{{Server: 7, Named: true, RequestsPerSecond: rate}}, now), qt.HasLen, 0)
 	}
 	future := decodeLimits([]*gossippb.ServerLimit{{Server: 7, Named: true, RequestsPerSecond: 1, AgeMs: -5000}}, now)
-	c.Check(future[0].At, qt.Equals, now)
+	c.Check(future[0].ObservedAt, qt.Equals, now)
 }
 
 func TestAccountsOfServers(t *testing.T) {
@@ -50,6 +50,6 @@
 		return s.decodeSums(s.encodeSums(counts)).Spent
 	}
 	c.Check(sums(), qt.DeepEquals, map[string]float64{"quarry": 5})
-	s.view.MergeLimits([]advice.Record{{Server: backend.KeyOf(entry), Limit: advice.Limit{Rate: 1, Named: true, At: time.Now()}}})
+	s.view.MergeLimits([]advice.LimitRecord{{Server: backend.KeyOf(entry), Limit: advice.Limit{Rate: 1, Limited: true, ObservedAt: time.Now()}}})
 	c.Check(sums(), qt.DeepEquals, map[string]float64{"quarry": 5, accountOf(backend.KeyOf(entry)): 6})
 }
--- a/internal/router/talk.go
+++ b/internal/router/talk.go
@@ -74,7 +74,7 @@
 func (s *state) OwnCounts(sequence uint64) *gossippb.Counts {
 	now := time.Now()
 	used := s.limiter.own()
-	own := rollup.Counts{Spent: used.Spent, Refused: used.Refused, Loads: s.view.OwnLoads(), Demand: s.demand.Rates(now), Paces: s.view.Paces(), Versions: s.router.board.Own()}
+	own := rollup.Counts{Spent: used.Spent, Refused: used.Refused, Loads: s.view.OwnLoads(), Demand: s.demand.Rates(now), Paces: s.view.EngineFigures(), Versions: s.router.board.Own()}
 	s.sums.TakeOwn(own)
 	s.mu.Lock()
 	s.sent[sequence] = own
@@ -172,7 +172,7 @@
 
 // HandleNotice implements gossip.Sink.
 func (s *state) HandleNotice(load *gossippb.Load) {
-	s.view.Noticed(load.GetKey(), int(load.GetPendingTokens()), time.Now())
+	s.view.RecordNotice(load.GetKey(), int(load.GetPendingTokens()), time.Now())
 }
 
 // notice tells others of a large prompt that this daemon sends.
@@ -232,12 +232,12 @@
 		reach: reach, demand: counts.Demand, without: own.Demand,
 	}
 	s.lead.versions = counts.Versions
-	s.view.Learn(counts.Paces)
+	s.view.MergeEngineFigures(counts.Paces)
 	s.told, s.toldAt = s.lead.reach.Known, now
 	s.mu.Unlock()
 	s.logLead(before)
 	s.useReach(now)
-	s.view.SetRemote(without(counts.Loads, own.Loads), now)
+	s.view.SetPeerLoads(without(counts.Loads, own.Loads), now)
 	rollup.Subtract(counts.Spent, own.Spent)
 	rollup.Subtract(counts.Refused, own.Refused)
 	// Only sums of the same process that hold this daemon's counts can be compared.
@@ -320,8 +320,8 @@
 	}
 	s.useReach(now)
 	others := s.sums.Others(now)
-	s.view.SetRemote(others.Loads, now)
-	s.view.Learn(others.Paces)
+	s.view.SetPeerLoads(others.Loads, now)
+	s.view.MergeEngineFigures(others.Paces)
 	spent, refused := s.sums.AllSpent()
 	s.hearUsed(s.router.settings.VM.ID, s.router.incarnation, allowance.Counters{Spent: spent, Refused: refused}, changed && before != "", now)
 }
