--- a/internal/backend/cache.go
+++ b/internal/backend/cache.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// prefix returns the tokens of the leading parts that are cached.
-func (c *promptCache) prefix(parts []PromptPart) int {
+// cachedPrefix returns the tokens of the leading parts that are cached.
+func (c *promptCache) cachedPrefix(parts []PromptPart) int {
 	tokens := 0
 	for _, p := range parts {
 		if !c.parts.Contains(p.ID) {
--- a/internal/backend/leaving.go
+++ b/internal/backend/leaving.go
@@ -143,7 +143,7 @@
 	if c.view.servers[c.ID] != c.server {
 		return false
 	}
-	if c.lastResort && c.server.usable(now) {
+	if c.lastResort && c.server.usableAsLastResort(now) {
 		return true
 	}
 	return c.server.ready() || slices.Contains(c.view.eligibleServers(track{c.need.Service, c.Candidate}, now), c.server)
--- a/internal/backend/limits.go
+++ b/internal/backend/limits.go
@@ -62,7 +62,7 @@
 	}
 	c.view.setLimit(s, change.After)
 	if a.RetryAfter > 0 {
-		s.restUntil = later(s.restUntil, answered.Add(a.RetryAfter))
+		s.backoffUntil = later(s.backoffUntil, answered.Add(a.RetryAfter))
 	}
 	if a.Leaving {
 		change.LeavingAnnounced = c.view.announceLeaving(s, answered, answered)
@@ -249,7 +249,7 @@
 }
 
 // availableAt returns when a server that was passed over may get a request.
-func (s *server) availableAt() time.Time { return later(s.admissibleAt, s.restUntil) }
+func (s *server) availableAt() time.Time { return later(s.admissibleAt, s.backoffUntil) }
 
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
--- a/internal/backend/limits_test.go
+++ b/internal/backend/limits_test.go
@@ -12,26 +12,26 @@
 
 // fakeLimiter admits a number of requests to each server.
 type fakeLimiter struct {
-	left    map[uint32]int
-	limits  map[uint32]float64
-	refunds int
+	remaining map[uint32]int
+	limits    map[uint32]float64
+	refunds   int
 }
 
 func newFakeLimiter() *fakeLimiter {
-	return &fakeLimiter{left: map[uint32]int{}, limits: map[uint32]float64{}}
+	return &fakeLimiter{remaining: map[uint32]int{}, limits: map[uint32]float64{}}
 }
 
 func (f *fakeLimiter) SetLimit(server uint32, rate float64) { f.limits[server] = rate }
 func (f *fakeLimiter) Lift(server uint32)                   { delete(f.limits, server) }
 func (f *fakeLimiter) Forget(server uint32)                 { delete(f.limits, server) }
 func (f *fakeLimiter) Refund(uint32, time.Time)             { f.refunds++ }
-func (f *fakeLimiter) Binds(server uint32) bool             { return f.left[server] == 0 }
+func (f *fakeLimiter) Binds(server uint32) bool             { return f.remaining[server] == 0 }
 
 func (f *fakeLimiter) Admit(server uint32) (time.Time, time.Duration, bool) {
-	if f.left[server] == 0 {
+	if f.remaining[server] == 0 {
 		return time.Time{}, 700 * time.Millisecond, false
 	}
-	f.left[server]--
+	f.remaining[server]--
 	return start, 0, true
 }
 
@@ -44,7 +44,7 @@
 	return v, limiter
 }
 
-func named(rate float64, at time.Time) advice.Limit {
+func limitedTo(rate float64, at time.Time) advice.Limit {
 	return advice.Limit{Rate: rate, Limited: true, ObservedAt: at}
 }
 
@@ -61,7 +61,7 @@
 	rate := 1.5
 	change := choice.ApplyAdvice(advice.Advice{Limit: &rate}, start)
 	c.Check(change.Before.Limited, qt.IsFalse)
-	c.Check(change.After, qt.Equals, named(1.5, start))
+	c.Check(change.After, qt.Equals, limitedTo(1.5, start))
 	choice.End(OutcomeServed, start)
 	c.Check(limiter.limits, qt.DeepEquals, map[uint32]float64{KeyOf(choice.Entry): 1.5})
 	for range 4 {
@@ -70,7 +70,7 @@
 		c.Check(other.ID, qt.Equals, "b")
 	}
 	c.Check(v.Servers(start)[0].AtLimit, qt.IsTrue)
-	limiter.left[KeyOf(choice.Entry)] = 1
+	limiter.remaining[KeyOf(choice.Entry)] = 1
 	within, _ := v.Begin(need, start)
 	c.Check(within.ID, qt.Equals, "a")
 	within.RefundAdmission()
@@ -82,8 +82,8 @@
 	c := qt.New(t)
 	v, _ := limitedView("a", "b")
 	need := Need{Service: "s", Zone: "z-a"}
-	report(v, "a", named(1, start))
-	report(v, "b", named(1, start))
+	report(v, "a", limitedTo(1, start))
+	report(v, "b", limitedTo(1, start))
 	_, ok := v.Begin(need, start)
 	c.Assert(ok, qt.IsFalse)
 	wait, found := v.RetryAfter(need, start)
@@ -103,7 +103,7 @@
 	}
 	v, _ := limitedView(ids...)
 	for _, id := range ids[1:] {
-		report(v, id, named(1, start))
+		report(v, id, limitedTo(1, start))
 	}
 	for i := range 20 {
 		choice, ok := v.Begin(Need{Service: "s", Zone: "z-a", SampleSeed: uint64(i), Parts: []PromptPart{{ID: fmt.Sprint(i), Tokens: 100}}}, start)
@@ -115,11 +115,11 @@
 func TestReportsOfLimitsMerge(t *testing.T) {
 	c := qt.New(t)
 	v, limiter := limitedView("a")
-	c.Check(report(v, "a", named(2, start)), qt.HasLen, 1)
-	c.Check(report(v, "a", named(2, start.Add(500*time.Millisecond))), qt.HasLen, 0)
+	c.Check(report(v, "a", limitedTo(2, start)), qt.HasLen, 1)
+	c.Check(report(v, "a", limitedTo(2, start.Add(500*time.Millisecond))), qt.HasLen, 0)
 	c.Check(v.Limits(0, start)[0].ObservedAt, qt.Equals, start, qt.Commentf("an equal limit is not refreshed by each report"))
 	c.Check(report(v, "a", advice.Limit{ObservedAt: start.Add(-time.Second)}), qt.HasLen, 0, qt.Commentf("an older report ends nothing"))
-	c.Check(report(v, "unknown", named(2, start)), qt.HasLen, 0)
+	c.Check(report(v, "unknown", limitedTo(2, start)), qt.HasLen, 0)
 	c.Check(report(v, "a", advice.Limit{ObservedAt: start.Add(time.Second)}), qt.HasLen, 1)
 	c.Check(limiter.limits, qt.HasLen, 0)
 	c.Check(v.Limits(0, start.Add(2*time.Second)), qt.HasLen, 1, qt.Commentf("that it has ended is reported"))
@@ -149,7 +149,7 @@
 	}
 	v, _ := limitedView(ids...)
 	for _, id := range ids {
-		report(v, id, named(1, start))
+		report(v, id, limitedTo(1, start))
 	}
 	seen := map[uint32]bool{}
 	for turn := range uint64(3) {
@@ -162,7 +162,7 @@
 	c.Check(seen, qt.HasLen, 150)
 }
 
-func TestRestingServersAreSkipped(t *testing.T) {
+func TestServersInBackoffAreSkipped(t *testing.T) {
 	c := qt.New(t)
 	v, _ := limitedView("a", "b")
 	need := Need{Service: "s", Zone: "z-a"}
@@ -189,7 +189,7 @@
 	c.Check(pick(v, start.Add(3*time.Second)), qt.Equals, "a", qt.Commentf("used again at once"))
 }
 
-func TestLeavingServerIsUsedWhileOthersRest(t *testing.T) {
+func TestLeavingServerIsUsedWhileOthersBackOff(t *testing.T) {
 	c := qt.New(t)
 	v, _ := limitedView("a", "b")
 	choice, _ := v.Begin(Need{Service: "s", Zone: "z-a", ServerID: "a"}, start)
@@ -202,7 +202,7 @@
 	c.Check(standIn.MaySend(start.Add(defaultDrainBound)), qt.IsFalse)
 }
 
-func TestRestingCandidatesAreNotWaitedFor(t *testing.T) {
+func TestCandidatesInBackoffAreNotWaitedFor(t *testing.T) {
 	c := qt.New(t)
 	v, _ := limitedView()
 	for id, version := range map[string]string{"a": "v1", "c": "v2"} {
@@ -215,7 +215,7 @@
 	choice, ok := v.Begin(need, start)
 	c.Assert(ok, qt.IsTrue)
 	c.Check(choice.ID, qt.Equals, "c")
-	report(v, "c", named(0, start))
+	report(v, "c", limitedTo(0, start))
 	choice.ApplyAdvice(advice.Advice{RetryAfter: time.Second}, start)
 	choice, ok = v.Begin(need, start)
 	c.Assert(ok, qt.IsTrue)
@@ -255,7 +255,7 @@
 			}
 			v, _ := limitedView(ids...)
 			for _, id := range ids[:maxReportRecords] {
-				report(v, id, named(1, start))
+				report(v, id, limitedTo(1, start))
 			}
 			records := v.Limits(0, start)
 			for b.Loop() {
--- a/internal/backend/pick.go
+++ b/internal/backend/pick.go
@@ -109,7 +109,7 @@
 			offer.Queue += engines.Queue(s.deferredTokens)
 		}
 		offer.CrossZoneLatency = v.crossZoneLatency(s.Zone, need.Zone)
-		offer.Leaving = s.resting(now)
+		offer.Leaving = s.backingOff(now)
 		offer.Suspect = offer.Suspect || (need.Final && s.onProbation(now))
 		offers = append(offers, offer)
 	}
@@ -136,7 +136,7 @@
 
 // lastResortServers returns the servers that leave and may still be used.
 func (v *View) lastResortServers(of track, now time.Time) []*server {
-	return v.matchingServers(of, func(s *server) bool { return !s.ready() && s.usable(now) })
+	return v.matchingServers(of, func(s *server) bool { return !s.ready() && s.usableAsLastResort(now) })
 }
 
 // matchingServers returns the servers of one side for which a condition holds, in the order of their IDs.
--- a/internal/backend/placement.go
+++ b/internal/backend/placement.go
@@ -34,7 +34,7 @@
 		if s.cache == nil {
 			s.cache = newPromptCache(traits.CacheTokens)
 		}
-		p.sentTokens[s] = s.cache.prefix(parts)
+		p.sentTokens[s] = s.cache.cachedPrefix(parts)
 		if !s.suspect(now) && (p.bestSource == nil || p.sentTokens[s] > p.sentTokens[p.bestSource]) {
 			p.bestSource = s
 		}
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -130,16 +130,16 @@
 	limit        advice.Limit
 	liftedAt     time.Time
 	admissibleAt time.Time
-	// restUntil is until when the server wants no requests from this daemon.
-	restUntil time.Time
+	// backoffUntil is until when the server wants no requests from this daemon.
+	backoffUntil time.Time
 }
 
 // ready reports whether the server takes new work.
 func (s *server) ready() bool { return s.listed && !s.Draining && s.leavingAnnouncedAt.IsZero() }
 
-// usable reports whether a server that leaves may still be used when there is
+// usableAsLastResort reports whether a server that leaves may still be used when there is
 // no other.
-func (s *server) usable(now time.Time) bool { return now.Before(s.usableUntil) }
+func (s *server) usableAsLastResort(now time.Time) bool { return now.Before(s.usableUntil) }
 
 func (s *server) failureWeight(now time.Time) float64 {
 	if s.lastFailureWeight == 0 {
@@ -149,15 +149,15 @@
 	return s.lastFailureWeight * math.Exp2(-age)
 }
 
-// resting reports whether the server has asked this daemon for rest.
-func (s *server) resting(now time.Time) bool { return now.Before(s.restUntil) }
+// backingOff reports whether the server has asked this daemon for rest.
+func (s *server) backingOff(now time.Time) bool { return now.Before(s.backoffUntil) }
 
 // probationPeriod is how long after its rest a server that has served nothing since is not relied on.
 const probationPeriod = 5 * time.Second
 
 // onProbation reports whether the server has declined and served nothing since: it may decline again.
 func (s *server) onProbation(now time.Time) bool {
-	return now.Before(s.restUntil.Add(probationPeriod)) && s.lastServedAt.Before(s.restUntil)
+	return now.Before(s.backoffUntil.Add(probationPeriod)) && s.lastServedAt.Before(s.backoffUntil)
 }
 
 // suspect reports whether the server should be used only when no other is
--- a/internal/backend/versions.go
+++ b/internal/backend/versions.go
@@ -98,7 +98,7 @@
 	versions := v.versionsOf(need.Service)
 	if need.Candidate {
 		tried := v.eligibleServers(track{need.Service, true}, now)
-		sound := slices.ContainsFunc(tried, func(s *server) bool { return s.ready() && !s.suspect(now) && !s.resting(now) })
+		sound := slices.ContainsFunc(tried, func(s *server) bool { return s.ready() && !s.suspect(now) && !s.backingOff(now) })
 		if sound {
 			return tried, true
 		}
--- a/internal/backend/view.go
+++ b/internal/backend/view.go
@@ -98,7 +98,7 @@
 	present := map[string]bool{}
 	for _, e := range entries {
 		present[e.ID] = true
-		ended = append(ended, v.put(e, seen)...)
+		ended = append(ended, v.putEntry(e, seen)...)
 	}
 	for id, s := range v.servers {
 		if !present[id] {
@@ -133,7 +133,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, e := range entries {
-		ended = append(ended, v.put(e, seen)...)
+		ended = append(ended, v.putEntry(e, seen)...)
 	}
 	for _, id := range gone {
 		if s := v.servers[id]; s != nil {
@@ -145,7 +145,7 @@
 	return ended
 }
 
-func (v *View) put(e Entry, seen Observation) (ended []Entry) {
+func (v *View) putEntry(e Entry, seen Observation) (ended []Entry) {
 	now := seen.ReceivedAt
 	s := v.servers[e.ID]
 	if s != nil && s.supersedes(e) {
--- a/internal/backend/view_test.go
+++ b/internal/backend/view_test.go
@@ -249,10 +249,10 @@
 	c := qt.New(t)
 	cache := newPromptCache(1000)
 	cache.add([]PromptPart{{"a", 300}, {"b", 300}})
-	c.Check(cache.prefix([]PromptPart{{"a", 300}, {"b", 300}, {"c", 1}}), qt.Equals, 600)
+	c.Check(cache.cachedPrefix([]PromptPart{{"a", 300}, {"b", 300}, {"c", 1}}), qt.Equals, 600)
 	cache.add([]PromptPart{{"d", 300}})
-	c.Check(cache.prefix([]PromptPart{{"a", 300}}), qt.Equals, 0)
-	c.Check(cache.prefix([]PromptPart{{"d", 300}}), qt.Equals, 300)
+	c.Check(cache.cachedPrefix([]PromptPart{{"a", 300}}), qt.Equals, 0)
+	c.Check(cache.cachedPrefix([]PromptPart{{"d", 300}}), qt.Equals, 300)
 	c.Check(cache.tokens <= cache.limit, qt.IsTrue)
 }
 
