--- a/internal/backend/cache.go
+++ b/internal/backend/cache.go
@@ -9,14 +9,14 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// PromptPart is a part of a prompt that several requests may share.
+// PromptPart is a contiguous part of a prompt that several requests may share.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// promptCache models which parts of prompts a model engine keeps: what this
-// daemon has sent there, the least recently used given up first.
+// promptCache predicts which prompt parts a model engine has cached, from what this daemon has sent
+// to it. It evicts the least recently used part first.
 type promptCache struct {
 	parts  *simplelru.LRU[string, int]
 	tokens int
@@ -24,22 +24,22 @@
 }
 
 const (
-	// maxCachedParts bounds the number of parts that are remembered for one engine;
-	// at 500 tokens a part that is more than an engine holds.
+	// maxCachedParts bounds the parts that are remembered per engine. At 500 tokens a part that is
+	// more than an engine holds.
 	maxCachedParts = 1024
-	// cacheShare is the share of an engine's memory taken to hold cached parts;
-	// running requests hold the rest.
+	// cacheShare is the assumed share of an engine's memory that holds cached parts. Running
+	// requests use the rest.
 	cacheShare = 0.7
 )
 
 func newPromptCache(capacityTokens int) *promptCache {
 	c := &promptCache{limit: int(cacheShare * float64(capacityTokens))}
-	// simplelru fails only for a size that is not positive.
+	// NewLRU fails only if the size is not positive.
 	c.parts, _ = simplelru.NewLRU(maxCachedParts, func(_ string, tokens int) { c.tokens -= tokens })
 	return c
 }
 
-// add notes that the engine has read the parts of a prompt.
+// add records that the engine has processed the parts of a prompt.
 func (c *promptCache) add(parts []PromptPart) {
 	for _, p := range parts {
 		if _, known := c.parts.Get(p.ID); known {
@@ -53,7 +53,7 @@
 	}
 }
 
-// cachedPrefix returns the tokens of the leading parts that are cached.
+// cachedPrefix returns the number of tokens in the leading parts that are all cached.
 func (c *promptCache) cachedPrefix(parts []PromptPart) int {
 	tokens := 0
 	for _, p := range parts {
@@ -65,7 +65,7 @@
 	return tokens
 }
 
-// homePartID is the part that decides where a prompt is best sent: the last one
+// homePartID returns the ID of the part that selects the home server of a prompt: the last part
 // that other requests share.
 func homePartID(parts []PromptPart) string {
 	switch len(parts) {
@@ -77,7 +77,8 @@
 	return parts[len(parts)-2].ID
 }
 
-// sharedTokens counts the tokens of the parts that other requests share.
+// sharedTokens returns the number of tokens in the parts that other requests share: all but the
+// last.
 func sharedTokens(parts []PromptPart) int {
 	tokens := 0
 	for i := 0; i < len(parts)-1; i++ {
@@ -86,9 +87,9 @@
 	return tokens
 }
 
-// homeServer returns the server that all daemons take for the home of a key, by
-// rendezvous hashing over the servers in service: no talk is needed, and a
-// server that comes or goes moves only its own keys.
+// homeServer returns the server on which the prompts of a key are preferably cached. It uses
+// rendezvous hashing over the servers in service: all daemons agree without communication, and a
+// server that joins or leaves moves only its own keys.
 func homeServer(key string, servers []*server) *server {
 	if key == "" || len(servers) == 0 {
 		return nil
@@ -99,10 +100,11 @@
 	})
 }
 
-// rendezvousWeight ranks the server as a home of a key, by the hash of the key.
+// rendezvousWeight returns the server's weight as home of a key. The server with the highest weight
+// is the home.
 func (s *server) rendezvousWeight(keyHash uint64) uint64 {
-	var both [16]byte
-	binary.LittleEndian.PutUint64(both[:8], keyHash)
-	binary.LittleEndian.PutUint64(both[8:], s.idHash)
-	return xxhash.Sum64(both[:])
+	var input [16]byte
+	binary.LittleEndian.PutUint64(input[:8], keyHash)
+	binary.LittleEndian.PutUint64(input[8:], s.idHash)
+	return xxhash.Sum64(input[:])
 }
--- a/internal/backend/choice.go
+++ b/internal/backend/choice.go
@@ -7,52 +7,56 @@
 	"github.com/plankridge/plankridge/internal/pace"
 )
 
-// Choice is a picked server. End must be called when the attempt is over.
+// Choice is a server that was picked for an attempt, and the state of that attempt. End must be
+// called when the attempt is over. RecordEvent and Timing must not be called concurrently.
 type Choice struct {
 	Entry
-	// Wait is the predicted time to the first event, Own the part of it that the
-	// attempt would take on an idle server.
+	// Wait is the predicted time to the first event, and IdleWait the part of it that the attempt
+	// would take on an idle server.
 	Wait     time.Duration
 	IdleWait time.Duration
-	// Calibrated is set once the predictions come from what was seen of the engines.
+	// Calibrated is set if the predictions are based on measurements of the engines and not on
+	// initial estimates.
 	Calibrated bool
-	// Load is what the attempt asks of the engines.
+	// Load is the load that the attempt puts on the engines.
 	Load demand.Load
-	// LongPrefill is set where the prompt keeps an engine reading for long.
+	// LongPrefill is set if the prompt's prefill takes long compared with the request's target.
 	LongPrefill bool
-	// PrefillTokens is the number of prompt tokens that the engine is predicted to
-	// read.
+	// PrefillTokens is the predicted number of prompt tokens that the engine has to process because
+	// it neither caches nor copies them.
 	PrefillTokens int
 	// FetchFrom is the address of a server to copy prompt parts from, or empty.
 	FetchFrom string
-	// Running is what the server had in hand, as far as it is known.
+	// Running is the known number of requests that were running on the server before this attempt.
 	Running int
-	// Candidate is set for a server of the version that a roll-out tries.
+	// Candidate is set if the server runs the candidate version of a roll-out.
 	Candidate bool
 
 	view   *View
 	server *server
 	need   Need
 	work   pace.Work
-	// queuedTokens are the prompt tokens that were pending at the server before.
+	// queuedTokens is the number of prompt tokens that were pending on the server before this
+	// attempt.
 	queuedTokens int
-	// prefillPending is set until the prompt is read.
+	// prefillPending is set until the engine has processed the prompt.
 	prefillPending bool
 	startedAt      time.Time
-	// lastResort is set for a server that leaves and was picked since the others rest or are at their
-	// limits.
+	// lastResort is set if the server is leaving and was picked because all others back off or are
+	// at their limits.
 	lastResort bool
-	// admittedAt is when the attempt took a part of its server's limit, or zero.
+	// admittedAt is when the attempt was counted against its server's request limit, or zero.
 	admittedAt time.Time
-	// firstEventAt and lastEventAt are when the first and the last event came, of so many.
+	// firstEventAt and lastEventAt are when the first and the latest event were received; events
+	// counts them.
 	firstEventAt, lastEventAt time.Time
 	events                    int
-	// onRestart is called when the server starts again.
+	// onRestart is called if the server restarts before the attempt has ended.
 	onRestart func()
 }
 
-// RecordEvent notes that an event of the answer has come. With the first one the prompt is
-// read.
+// RecordEvent records that an event of the answer was received. The first event shows that the
+// prompt has been processed.
 func (c *Choice) RecordEvent(now time.Time) {
 	if c.events++; c.events > 1 {
 		c.lastEventAt = now
@@ -68,8 +72,8 @@
 	c.learnFirstEvent()
 }
 
-// Timing returns how long the first event took, and the mean time between events; zero where
-// there was none. It is asked once the attempt has ended.
+// Timing returns the time to the first event and the mean time between events. A value is zero if
+// there were too few events. It must not be called before the attempt has ended.
 func (c *Choice) Timing() (first, each time.Duration) {
 	if c.events == 0 {
 		return 0, 0
@@ -80,8 +84,8 @@
 	return c.firstEventAt.Sub(c.startedAt), each
 }
 
-// learnFirstEvent takes over how long the first event took, unless a queue made most of it.
-// The caller holds the lock.
+// learnFirstEvent updates the engine model with the time to the first event, unless queueing made
+// up most of that time. The caller holds the lock.
 func (c *Choice) learnFirstEvent() {
 	engines := c.view.engineFor(c.need.Service)
 	if engines == nil || c.Candidate || c.need.Deferred || c.Running >= c.Slots || c.queuedTokens > c.PrefillTokens {
@@ -95,7 +99,7 @@
 	engines.SawFirst(work, took)
 }
 
-// learnStream takes over how long the stream lasted; the caller holds the lock.
+// learnStream updates the engine model with the duration of the stream. The caller holds the lock.
 func (c *Choice) learnStream() {
 	engines := c.view.engineFor(c.need.Service)
 	if engines == nil || c.Candidate || c.events == 0 || c.need.Resumed {
@@ -106,8 +110,8 @@
 	engines.SawStream(tokens, c.need.Answer, batch, c.lastEventAt.Sub(c.firstEventAt))
 }
 
-// register counts the attempt in at its server. A deferred one goes behind all others and
-// is in nobody's way. The caller holds the lock.
+// register adds the attempt to its server's load. Deferred attempts are counted separately, because
+// they run after all others and delay none of them. The caller holds the lock.
 func (c *Choice) register() {
 	c.server.attempts[c] = struct{}{}
 	c.server.ownLoad.Running++
@@ -118,7 +122,8 @@
 	c.server.ownLoad.PendingTokens += c.PrefillTokens
 }
 
-// finishPrefill notes that the prompt is read, once; the caller holds the lock.
+// finishPrefill removes the prompt's tokens from the server's pending load, once. The caller holds
+// the lock.
 func (c *Choice) finishPrefill() {
 	if !c.prefillPending {
 		return
@@ -131,7 +136,7 @@
 	c.server.ownLoad.PendingTokens -= c.PrefillTokens
 }
 
-// End counts the attempt out.
+// End removes the attempt from its server's load and records its outcome.
 func (c *Choice) End(outcome Outcome, now time.Time) {
 	c.view.mu.Lock()
 	defer c.view.mu.Unlock()
--- a/internal/backend/choice_bench_test.go
+++ b/internal/backend/choice_bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkChoice states what a choice costs where a service has so many servers: 7, 6 and
-// 31 µs on one core; 10, 137 and 3,170 µs when each collected and sorted them.
+// BenchmarkChoice measures Begin and End for services with many servers. It took 7, 6 and 31 µs on
+// one core; 10, 137 and 3,170 µs when each call collected and sorted all servers.
 func BenchmarkChoice(b *testing.B) {
 	for _, servers := range []int{16, 160, 2600} {
 		b.Run(fmt.Sprintf("%d", servers), func(b *testing.B) {
--- a/internal/backend/incarnation.go
+++ b/internal/backend/incarnation.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// emptyCachePeriod is how long a server that has started again is not taken for the home of prompts
-// that it was before: it keeps nothing, and the daemons send it their shared parts anew one
-// by one.
+// emptyCachePeriod is how long a restarted server is not assumed to have cached the prompts that it
+// is the home of. Its cache is empty after the restart and is filled as the daemons send it their
+// shared parts again.
 const emptyCachePeriod = 3 * time.Second
 
-// supersedes reports whether an entry is from before what is known of the server: from an
-// earlier incarnation, or an older word of the same. A write to the store may be carried
-// out seconds after the server that sent it has died.
+// supersedes reports whether the known state is newer than an entry: the entry is from an earlier
+// incarnation, or from the same one with a lower sequence. A write to the store may be applied
+// seconds after the server that sent it has died.
 func (s *server) supersedes(e Entry) bool {
 	if s.StartTimeMs == 0 || e.StartTimeMs == 0 {
 		return false
@@ -17,11 +17,11 @@
 	return e.StartTimeMs < s.StartTimeMs || (e.StartTimeMs == s.StartTimeMs && e.Sequence < s.Sequence)
 }
 
-// isRestart reports whether an entry is from a later incarnation than the one known.
+// isRestart reports whether an entry is from a later incarnation than the known one.
 func (s *server) isRestart(e Entry) bool { return s.StartTimeMs != 0 && e.StartTimeMs > s.StartTimeMs }
 
-// abandonAttempts lets go of an incarnation that is no more: its attempts learn of it. The caller holds
-// the lock of the view.
+// abandonAttempts calls onRestart for the attempts at an incarnation that has ended, and forgets
+// them. The caller holds the lock of the view.
 func (s *server) abandonAttempts() {
 	for choice := range s.attempts {
 		if choice.onRestart != nil {
@@ -31,9 +31,10 @@
 	clear(s.attempts)
 }
 
-// OnRestart sets what is called once when the server starts again before the attempt has
-// ended: the incarnation that it was sent to holds and knows nothing any more. It must not
-// call the view.
+// OnRestart sets a function that is called once if the server restarts before the attempt has
+// ended, because the new incarnation has no state of the attempt. It is called at once if the
+// server has restarted already. The function is called with the view locked and must not call the
+// view.
 func (c *Choice) OnRestart(call func()) {
 	c.view.mu.Lock()
 	defer c.view.mu.Unlock()
--- a/internal/backend/incarnation_test.go
+++ b/internal/backend/incarnation_test.go
@@ -7,14 +7,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// entryAt is an entry of an incarnation.
-func entryAt(id string, bornMs, sequence int64) Entry {
+// entryAt returns an entry of an incarnation that started at startMs.
+func entryAt(id string, startMs, sequence int64) Entry {
 	e := entry(id, "z-"+id)
-	e.StartTimeMs, e.Sequence = bornMs, sequence
+	e.StartTimeMs, e.Sequence = startMs, sequence
 	return e
 }
 
-// TestRestartUnderTheSameID: what was known of the earlier incarnation is gone at once.
+// TestRestartUnderTheSameID checks that all state of the earlier incarnation is dropped at once.
 func TestRestartUnderTheSameID(t *testing.T) {
 	c := qt.New(t)
 	v := NewView()
@@ -26,38 +26,38 @@
 	choice, _ := v.Begin(need, start)
 	choice.RecordEvent(start.Add(100 * time.Millisecond))
 	running, _ := v.Begin(need, start.Add(time.Second))
-	c.Check(running.PrefillTokens, qt.Equals, 0, qt.Commentf("the prompt is kept there"))
+	c.Check(running.PrefillTokens, qt.Equals, 0, qt.Commentf("the prompt is cached there"))
 	v.SetPeerLoads(map[uint32]Load{KeyOf(choice.Entry): {Running: 3, PendingTokens: 9000}}, start.Add(time.Second))
 	for range 4 {
 		failing, _ := v.Begin(need, start.Add(time.Second))
 		failing.End(OutcomeFailed, start.Add(time.Second))
 	}
-	told := 0
-	running.OnRestart(func() { told++ })
+	restarts := 0
+	running.OnRestart(func() { restarts++ })
 
 	again := start.Add(1100 * time.Millisecond)
 	ended := v.Put(entryAt("a", 2000, 1), again)
 	c.Assert(ended, qt.HasLen, 1)
 	c.Check(ended[0].StartTimeMs, qt.Equals, int64(1000))
-	c.Check(told, qt.Equals, 1)
+	c.Check(restarts, qt.Equals, 1)
 	status := v.Servers(again)[0]
-	c.Check(status.Load, qt.Equals, Load{}, qt.Commentf("neither own attempts nor what others told"))
+	c.Check(status.Load, qt.Equals, Load{}, qt.Commentf("neither own attempts nor loads of peers"))
 	c.Check(status.Suspect, qt.IsFalse)
 	v.SetPeerLoads(map[uint32]Load{KeyOf(choice.Entry): {Running: 3}}, again)
-	c.Check(v.Servers(again)[0].Running, qt.Equals, 0, qt.Commentf("others tell of the earlier incarnation"))
+	c.Check(v.Servers(again)[0].Running, qt.Equals, 0, qt.Commentf("the loads of peers are of the earlier incarnation"))
 	fresh, _ := v.Begin(need, again)
-	c.Check(fresh.PrefillTokens, qt.Equals, 3100, qt.Commentf("it keeps nothing"))
-	// Attempts at the earlier incarnation end without touching the new one.
+	c.Check(fresh.PrefillTokens, qt.Equals, 3100, qt.Commentf("its cache is empty"))
+	// Attempts at the earlier incarnation must not affect the new one when they end.
 	running.End(OutcomeFailed, again)
 	choice.End(OutcomeServed, again)
 	c.Check(v.Servers(again)[0].Running, qt.Equals, 1)
 	c.Check(v.Servers(again)[0].Suspect, qt.IsFalse)
-	running.OnRestart(func() { told++ })
-	c.Check(told, qt.Equals, 2, qt.Commentf("told at once when the server is another already"))
+	running.OnRestart(func() { restarts++ })
+	c.Check(restarts, qt.Equals, 2, qt.Commentf("called at once after a restart"))
 }
 
-// TestOlderWordsChangeNothing: entries may be told in any order, by writes that were
-// carried out late or by peers that are behind.
+// TestOlderWordsChangeNothing checks that older entries are ignored. Entries may arrive in any
+// order, from writes that were applied late or from peers that lag behind.
 func TestOlderWordsChangeNothing(t *testing.T) {
 	draining := func(e Entry) Entry { e.Draining = true; return e }
 	moved := func(e Entry) Entry { e.Address = "elsewhere:80"; return e }
@@ -79,24 +79,24 @@
 			c.Check(pick(v, start), qt.Equals, "a")
 			v.Remove("a", start)
 			v.Put(older, start)
-			c.Check(v.Servers(start), qt.HasLen, 0, qt.Commentf("it does not come back by an older word"))
+			c.Check(v.Servers(start), qt.HasLen, 0, qt.Commentf("an older entry does not bring it back"))
 		})
 	}
 }
 
-// TestRestartThatNobodySaw: the entry goes away and comes back within a cut, or only the
-// list tells of it.
+// TestRestartThatNobodySaw covers restarts that show only in a complete list, for example after a
+// network partition, or within one heartbeat.
 func TestRestartThatNobodySaw(t *testing.T) {
 	c := qt.New(t)
 	v := NewView()
 	v.Replace([]Entry{entryAt("a", 1000, 5), entryAt("b", 1000, 5)}, Observed(start))
 	choice, _ := v.Begin(Need{Service: "s", Zone: "z-a"}, start)
-	told := false
-	choice.OnRestart(func() { told = true })
+	restarted := false
+	choice.OnRestart(func() { restarted = true })
 	ended := v.Replace([]Entry{entryAt("a", 1500, 1), entryAt("b", 1000, 6)}, Observed(start.Add(time.Minute)))
 	c.Check(ended, qt.HasLen, 1)
-	c.Check(told, qt.IsTrue)
-	// Within one heartbeat, draining before and after.
+	c.Check(restarted, qt.IsTrue)
+	// A restart within one heartbeat of a draining server.
 	drains := entryAt("b", 1000, 7)
 	drains.Draining = true
 	v.Put(drains, start.Add(time.Minute))
@@ -104,8 +104,8 @@
 	c.Check(v.Servers(start.Add(time.Minute))[1].Ready, qt.IsTrue)
 }
 
-// TestClocksThatStepTellNoRestart: incarnations are compared with each other, never with a
-// clock of this daemon, whose time may step either way.
+// TestClocksThatStepTellNoRestart checks that incarnations are compared only with each other, never
+// with the clock of this daemon, which may step in either direction.
 func TestClocksThatStepTellNoRestart(t *testing.T) {
 	c := qt.New(t)
 	v := NewView()
@@ -116,14 +116,16 @@
 	c.Check(v.Servers(start)[0].Ready, qt.IsTrue)
 }
 
-// TestEntriesWithoutIncarnation: where most servers tell it, an entry without it is of another
-// writer. Where none does, all are used.
+// TestEntriesWithoutIncarnation checks that an entry without an incarnation is not used if most
+// servers report one, because something else wrote it, and that all are used if few or none report
+// one.
 func TestEntriesWithoutIncarnation(t *testing.T) {
 	c := qt.New(t)
 	v := NewView()
 	v.Put(entry("a", "z-a"), start)
 	c.Check(pick(v, start), qt.Equals, "a")
-	// One that tells it, of another writer or the first of a new kind, takes none away.
+	// A single entry with an incarnation, of a foreign writer or of the first upgraded server,
+	// excludes no other.
 	v.Put(entryAt("b", 1000, 1), start)
 	c.Check(pick(v, start), qt.Equals, "a")
 	v.Put(entryAt("c", 1000, 1), start)
--- a/internal/backend/leaving.go
+++ b/internal/backend/leaving.go
@@ -8,35 +8,36 @@
 )
 
 const (
-	// defaultDrainBound is how long a draining server may be sent requests where nothing is set.
+	// defaultDrainBound is how long a draining server may be sent requests if no bound is
+	// configured.
 	defaultDrainBound = 2 * time.Second
 	// maxTransit bounds the time from the last check of a server to the arrival of the request.
 	maxTransit = 150 * time.Millisecond
-	// outageGrace is how long an entry that lapsed during an outage of the
-	// store is still used after the store's return: live servers are back
-	// within about two seconds.
+	// outageGrace is how long an entry that expired during an outage of the store is still used
+	// after the store has recovered. Live servers register again within about two seconds.
 	outageGrace = 2200 * time.Millisecond
 )
 
-// Observation is when this daemon received a change of the servers, and the earliest time at which
-// the store can have acknowledged it: when it was last known to say otherwise. NotBefore is zero
-// where that is not known.
+// Observation says when this daemon received a change of the server list. NotBefore is the earliest
+// time at which the store can have acknowledged the change: the last time at which the list was
+// known not to contain it. NotBefore is zero if that is unknown.
 type Observation struct{ ReceivedAt, NotBefore time.Time }
 
-// Observed is the observation of a change that the store acknowledges at the time it is received.
+// Observed returns the observation of a change that the store acknowledged at the time of receipt.
 func Observed(now time.Time) Observation { return Observation{ReceivedAt: now, NotBefore: now} }
 
-// SetDrainBound sets how long a draining server may be sent requests after the store has acknowledged
-// that it drains.
+// SetDrainBound sets how long a draining server may be sent requests, counted from the store's
+// acknowledgement that it drains.
 func (v *View) SetDrainBound(bound time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.drainBound = bound
 }
 
-// usableUntil returns the time up to which a draining server may be picked if no ready server is left.
-// The bound counts from the store's acknowledgement: an observation may be late, and a daemon that has
-// just started sees servers that have drained for long. The caller holds the lock.
+// usableUntil returns the time up to which a draining server may be picked if no ready server is
+// left. The bound is counted from the store's acknowledgement, because the observation may be late,
+// and a daemon that has just started sees servers that began to drain long ago. The caller holds
+// the lock.
 func (v *View) usableUntil(seen Observation) time.Time {
 	if seen.NotBefore.IsZero() {
 		return time.Time{}
@@ -44,19 +45,20 @@
 	return seen.NotBefore.Add(v.drainBound - maxTransit)
 }
 
-// removeEntry marks a server whose entry is gone.
+// removeEntry marks a server whose entry was removed from the list. The caller holds the lock.
 func (v *View) removeEntry(s *server, seen Observation) {
 	clear(v.inService)
 	s.listed = false
 	until := v.usableUntil(seen)
-	// It may have lapsed during the outage if it was not seen since.
+	// An entry that was not seen since the outage may have expired during it.
 	if grace := v.outageEnd.Add(outageGrace); !s.Draining && !seen.NotBefore.After(v.outageEnd) && grace.After(until) {
 		until = grace
 	}
 	s.leave(seen.ReceivedAt, until)
 }
 
-// leave marks the server as leaving, usable as a last resort until a time.
+// leave marks the server as leaving, usable as a last resort until the given time. A second call
+// can only shorten the use.
 func (s *server) leave(now, usableUntil time.Time) {
 	switch {
 	case s.leftAt.IsZero():
@@ -66,13 +68,14 @@
 	}
 }
 
-// leavingNoticeTTL is how long a server is avoided on the reports of other daemons alone. After that it
-// is tried again, and a server that does leave announces it to this daemon as well.
+// leavingNoticeTTL is how long a server is avoided only because other daemons reported that it
+// leaves. It is tried again afterwards: a server that does leave announces it to this daemon as
+// well.
 const leavingNoticeTTL = time.Minute
 
-// announceLeaving records that the server announced in a response received at a time that it leaves. The
-// announcement overrides later entries: the store may be unreachable for the server, and peers' lists are
-// older. The caller holds the lock.
+// announceLeaving records that a response received at the given time announced that the server
+// leaves. The announcement overrides later entries, because the server may be unable to reach the
+// store, and the lists of peers are older. The caller holds the lock.
 func (v *View) announceLeaving(s *server, at, now time.Time) (changed bool) {
 	if !s.leavingAnnouncedAt.IsZero() && !at.Before(s.leavingAnnouncedAt) {
 		return false
@@ -84,8 +87,8 @@
 	return changed
 }
 
-// LeavingNotices returns the announcements to report to other daemons. Of many, turn picks those of one
-// report.
+// LeavingNotices returns the announcements to report to other daemons. If there are too many for
+// one report, turn selects the subset; it increases by one per report.
 func (v *View) LeavingNotices(turn uint64, now time.Time) []advice.LeavingNotice {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -98,8 +101,8 @@
 	return rotatingSubset(notices, turn, func(n advice.LeavingNotice) uint32 { return n.Server })
 }
 
-// MergeLeavingNotices merges the announcements that another daemon reports, and returns the entries of
-// servers for which they are new.
+// MergeLeavingNotices merges the announcements reported by another daemon. It returns the entries
+// of the servers for which an announcement is new.
 func (v *View) MergeLeavingNotices(notices []advice.LeavingNotice, now time.Time) (changed []Entry) {
 	if len(notices) == 0 {
 		return nil
@@ -120,8 +123,8 @@
 	return changed
 }
 
-// sweepLeavingNotices expires announcements that only other daemons have received; the caller holds the
-// lock.
+// sweepLeavingNotices expires announcements that were only reported by other daemons. The caller
+// holds the lock.
 func (v *View) sweepLeavingNotices(now time.Time) {
 	for _, s := range v.servers {
 		if !s.peerReported || now.Sub(s.leavingAnnouncedAt) < leavingNoticeTTL {
@@ -135,8 +138,8 @@
 	}
 }
 
-// MaySend reports whether the attempt may still be sent to its server: one that has waited for a
-// connection is looked at again.
+// MaySend reports whether the attempt may still be sent to its server. It is called when an attempt
+// has waited for a connection, because the server may have left meanwhile.
 func (c *Choice) MaySend(now time.Time) bool {
 	c.view.mu.Lock()
 	defer c.view.mu.Unlock()
--- a/internal/backend/limits.go
+++ b/internal/backend/limits.go
@@ -10,48 +10,52 @@
 )
 
 const (
-	// liftedReportTTL is how long a limit that has ended is reported: daemons that missed the answer
-	// would keep it otherwise.
+	// liftedReportTTL is how long the end of a limit is reported. Otherwise daemons that did not
+	// receive the response would keep the limit.
 	liftedReportTTL = 30 * time.Second
-	// minRefreshInterval is how much later an equal limit has to have been seen to replace a known one.
-	// Reports age on their way, and would refresh each other for ever.
+	// minRefreshInterval is how much newer an equal limit must be to replace a known one. Ages in
+	// reports don't include the time in transit, so that a limit seems slightly newer at each
+	// receiver, and daemons would refresh each other's limits forever.
 	minRefreshInterval = time.Second
-	// maxReportRecords bounds the limits in one report; others follow in the next ones.
+	// maxReportRecords bounds the records in one report. The others follow in the next reports.
 	maxReportRecords = 64
 )
 
-// Limiter shares the limits that servers name among all daemons. Servers are named by their keys.
+// Limiter enforces the servers' request limits jointly over all daemons. Servers are identified by
+// their keys.
 type Limiter interface {
-	// SetLimit sets the number of requests a second for a server.
+	// SetLimit sets a server's limit in requests per second.
 	SetLimit(server uint32, requestsPerSecond float64)
-	// Lift ends the limit of a server, and Forget all that is known of it.
+	// Lift ends the limit of a server. Forget also drops the counts that are kept for it.
 	Lift(server uint32)
 	Forget(server uint32)
-	// Admit counts a request that this daemon is about to send to a server, or says when one may
-	// be sent.
+	// Admit counts a request that this daemon is about to send to a server and returns the time of
+	// admission. If the server is at its limit, it returns how long to wait before the next request
+	// may be admitted.
 	Admit(server uint32) (admitted time.Time, retryAfter time.Duration, ok bool)
-	// Refund takes back a request that was not sent.
+	// Refund undoes the count of a request that was not sent.
 	Refund(server uint32, admitted time.Time)
-	// Binds reports whether callers ask for more than a server's limit.
+	// Binds reports whether the demand exceeds the server's limit.
 	Binds(server uint32) bool
 }
 
-// SetLimiter sets who shares the servers' limits. Without one they are not kept.
+// SetLimiter sets the limiter. Limits are not enforced without one.
 func (v *View) SetLimiter(limiter Limiter) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.limiter = limiter
 }
 
-// AdviceChange is the effect of a response on what is known of a server.
+// AdviceChange is the effect of one response's advice on the state of a server.
 type AdviceChange struct {
-	// Before and After are its limits.
+	// Before and After are the server's limits.
 	Before, After advice.Limit
-	// LeavingAnnounced is set for the first response that announces that the server leaves.
+	// LeavingAnnounced is set if this is the first response in which the server announces that it
+	// leaves.
 	LeavingAnnounced bool
 }
 
-// ApplyAdvice merges the advice in the response to an attempt.
+// ApplyAdvice applies the advice in the response to the attempt, received at the given time.
 func (c *Choice) ApplyAdvice(a advice.Advice, answered time.Time) AdviceChange {
 	c.view.mu.Lock()
 	defer c.view.mu.Unlock()
@@ -71,7 +75,7 @@
 	return change
 }
 
-// RefundAdmission gives back the part of the server's limit that the attempt took.
+// RefundAdmission undoes the count of an attempt that was not sent against its server's limit.
 func (c *Choice) RefundAdmission() {
 	c.view.mu.Lock()
 	defer c.view.mu.Unlock()
@@ -82,7 +86,7 @@
 	c.admittedAt = time.Time{}
 }
 
-// setLimit applies a server's limit; the caller holds the lock.
+// setLimit applies a server's limit. The caller holds the lock.
 func (v *View) setLimit(s *server, limit advice.Limit) {
 	before := s.limit
 	s.limit = limit
@@ -99,14 +103,14 @@
 	v.limiter.Lift(s.key)
 }
 
-// forgetLimit lets go of the limit of a server that is no more; the caller holds the lock.
+// forgetLimit makes the limiter drop a server that no longer exists. The caller holds the lock.
 func (v *View) forgetLimit(s *server) {
 	if v.limiter != nil && (s.limit.Limited || !s.liftedAt.IsZero()) {
 		v.limiter.Forget(s.key)
 	}
 }
 
-// sweepLimits forgets limits that have ended long ago; the caller holds the lock.
+// sweepLimits drops limits whose end is no longer reported. The caller holds the lock.
 func (v *View) sweepLimits(now time.Time) {
 	for _, s := range v.servers {
 		if !s.liftedAt.IsZero() && !s.reportsLimit(now) {
@@ -116,13 +120,13 @@
 	}
 }
 
-// reportsLimit reports whether a server's limit, or its end, is reported to other daemons.
+// reportsLimit reports whether the server's limit, or the end of it, is reported to other daemons.
 func (s *server) reportsLimit(now time.Time) bool {
 	return s.limit.Limited || now.Sub(s.liftedAt) < liftedReportTTL
 }
 
-// Limits returns what to report to other daemons of the servers' limits. Where there are many,
-// turn picks those of one report.
+// Limits returns the servers' limits to report to other daemons. If there are too many for one
+// report, turn selects the subset; it increases by one per report.
 func (v *View) Limits(turn uint64, now time.Time) []advice.LimitRecord {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -135,7 +139,9 @@
 	return rotatingSubset(records, turn, func(r advice.LimitRecord) uint32 { return r.Server })
 }
 
-// rotatingSubset returns all of few records, and of many those whose turn it is.
+// rotatingSubset returns all records if they fit into one report. Otherwise it returns
+// maxReportRecords of them in order of server key, selected by turn so that successive reports
+// cover all.
 func rotatingSubset[R any](records []R, turn uint64, server func(R) uint32) []R {
 	if len(records) <= maxReportRecords {
 		return records
@@ -145,8 +151,8 @@
 	return append(records, records...)[first : first+maxReportRecords]
 }
 
-// byKey returns the servers by their keys. The index is kept until one comes or goes: reports of many
-// daemons name servers. The caller holds the lock.
+// byKey returns the servers by key. The index is cached until a server is added or removed, because
+// the reports of many daemons are looked up in it. The caller holds the lock.
 func (v *View) byKey() map[uint32]*server {
 	if v.keyIndex != nil {
 		return v.keyIndex
@@ -158,7 +164,7 @@
 	return v.keyIndex
 }
 
-// LimitedKeys returns the keys of all servers that have a limit, or had one lately.
+// LimitedKeys returns the keys of all servers that have a limit or had one until recently.
 func (v *View) LimitedKeys(now time.Time) map[uint32]bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -171,8 +177,8 @@
 	return keys
 }
 
-// MergeLimits merges what another daemon reports of the servers' limits, and returns the entries
-// and limits of those that have changed.
+// MergeLimits merges the limits reported by another daemon. It returns the limits that have
+// changed.
 func (v *View) MergeLimits(records []advice.LimitRecord) (changed []ServerLimit) {
 	if len(records) == 0 {
 		return nil
@@ -194,17 +200,17 @@
 	return changed
 }
 
-// ServerLimit is a change of a server's limit.
+// ServerLimit is a changed limit of a server.
 type ServerLimit struct {
 	Entry
 	Before, Limit advice.Limit
 }
 
-// admit picks a server that may get one more request, and counts it. Servers at their limits are
-// passed over. The caller holds the lock.
-func (v *View) admit(offers []route.Server, need route.Need, now time.Time) (route.Choice, time.Time, bool) {
+// admit picks a server and counts the attempt against its limit. Servers at their limits are
+// skipped. The caller holds the lock.
+func (v *View) admit(servers []route.Server, need route.Need, now time.Time) (route.Choice, time.Time, bool) {
 	for {
-		picked, ok := route.Pick(offers, need)
+		picked, ok := route.Pick(servers, need)
 		if !ok {
 			return route.Choice{}, time.Time{}, false
 		}
@@ -217,21 +223,21 @@
 			return picked, admitted, true
 		}
 		s.admissibleAt = now.Add(retryAfter)
-		exclude(offers, picked.Server.ID)
+		exclude(servers, picked.Server.ID)
 	}
 }
 
-// exclude keeps a server from being picked.
-func exclude(offers []route.Server, id string) {
-	for i := range offers {
-		if offers[i].ID == id {
-			offers[i].Leaving = true
+// exclude prevents a server from being picked.
+func exclude(servers []route.Server, id string) {
+	for i := range servers {
+		if servers[i].ID == id {
+			servers[i].Leaving = true
 		}
 	}
 }
 
-// RetryAfter returns how long it takes until one of a service's servers may get a request, where they
-// rest or are at their limits, and false where it has no server at all.
+// RetryAfter returns the time until one of the service's servers may be sent a request, if all of
+// them back off or are at their limits. It returns false if the service has no server.
 func (v *View) RetryAfter(need Need, now time.Time) (time.Duration, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -248,7 +254,7 @@
 	return max(0, first.Sub(now)), true
 }
 
-// availableAt returns when a server that was passed over may get a request.
+// availableAt returns when a server that was skipped may be sent a request.
 func (s *server) availableAt() time.Time { return later(s.admissibleAt, s.backoffUntil) }
 
 func later(a, b time.Time) time.Time {
--- a/internal/backend/limits_test.go
+++ b/internal/backend/limits_test.go
@@ -10,7 +10,7 @@
 	"github.com/plankridge/plankridge/internal/advice"
 )
 
-// fakeLimiter admits a number of requests to each server.
+// fakeLimiter admits a fixed number of requests to each server.
 type fakeLimiter struct {
 	remaining map[uint32]int
 	limits    map[uint32]float64
@@ -48,7 +48,7 @@
 	return advice.Limit{Rate: rate, Limited: true, ObservedAt: at}
 }
 
-// report merges a peer's report on one server.
+// report merges a report of a peer on one server.
 func report(v *View, id string, limit advice.Limit) []ServerLimit {
 	return v.MergeLimits([]advice.LimitRecord{{Server: KeyOf(entry(id, "z-a")), Limit: limit}})
 }
@@ -93,8 +93,8 @@
 	c.Check(found, qt.IsFalse)
 }
 
-// TestManyServersAtTheirLimits guards against a refusal because the few servers that a prompt looks
-// at are at their limits.
+// TestManyServersAtTheirLimits guards against refusing a request because all shortlisted servers
+// are at their limits while others are not.
 func TestManyServersAtTheirLimits(t *testing.T) {
 	c := qt.New(t)
 	var ids []string
@@ -118,11 +118,11 @@
 	c.Check(report(v, "a", limitedTo(2, start)), qt.HasLen, 1)
 	c.Check(report(v, "a", limitedTo(2, start.Add(500*time.Millisecond))), qt.HasLen, 0)
 	c.Check(v.Limits(0, start)[0].ObservedAt, qt.Equals, start, qt.Commentf("an equal limit is not refreshed by each report"))
-	c.Check(report(v, "a", advice.Limit{ObservedAt: start.Add(-time.Second)}), qt.HasLen, 0, qt.Commentf("an older report ends nothing"))
+	c.Check(report(v, "a", advice.Limit{ObservedAt: start.Add(-time.Second)}), qt.HasLen, 0, qt.Commentf("an older report does not end the limit"))
 	c.Check(report(v, "unknown", limitedTo(2, start)), qt.HasLen, 0)
 	c.Check(report(v, "a", advice.Limit{ObservedAt: start.Add(time.Second)}), qt.HasLen, 1)
 	c.Check(limiter.limits, qt.HasLen, 0)
-	c.Check(v.Limits(0, start.Add(2*time.Second)), qt.HasLen, 1, qt.Commentf("that it has ended is reported"))
+	c.Check(v.Limits(0, start.Add(2*time.Second)), qt.HasLen, 1, qt.Commentf("the end of the limit is reported"))
 	c.Check(v.Limits(0, start.Add(liftedReportTTL+2*time.Second)), qt.HasLen, 0)
 }
 
@@ -137,7 +137,7 @@
 	v.Put(entryAt("a", 2000, 1), start)
 	c.Check(limiter.limits, qt.HasLen, 0)
 	choice.ApplyAdvice(advice.Advice{Limit: &rate}, start.Add(time.Second))
-	c.Check(limiter.limits, qt.HasLen, 0, qt.Commentf("the answer is of the earlier incarnation"))
+	c.Check(limiter.limits, qt.HasLen, 0, qt.Commentf("the response is of the earlier incarnation"))
 	c.Check(v.Servers(start)[0].Limit.Limited, qt.IsFalse)
 }
 
@@ -166,12 +166,12 @@
 	c := qt.New(t)
 	v, _ := limitedView("a", "b")
 	need := Need{Service: "s", Zone: "z-a"}
-	decline := func(id string, rest time.Duration) {
+	decline := func(id string, retryAfter time.Duration) {
 		only := need
 		only.ServerID = id
 		choice, ok := v.Begin(only, start)
 		c.Assert(ok, qt.IsTrue)
-		choice.ApplyAdvice(advice.Advice{RetryAfter: rest}, start)
+		choice.ApplyAdvice(advice.Advice{RetryAfter: retryAfter}, start)
 		choice.End(OutcomeFull, start)
 	}
 	decline("a", 3*time.Second)
@@ -186,7 +186,7 @@
 	c.Check(wait, qt.Equals, time.Second)
 	c.Check(pick(v, start.Add(time.Second)), qt.Equals, "b")
 	v.Remove("b", start.Add(2*time.Second))
-	c.Check(pick(v, start.Add(3*time.Second)), qt.Equals, "a", qt.Commentf("used again at once"))
+	c.Check(pick(v, start.Add(3*time.Second)), qt.Equals, "a", qt.Commentf("used again at the end of its backoff"))
 }
 
 func TestLeavingServerIsUsedWhileOthersBackOff(t *testing.T) {
@@ -195,11 +195,11 @@
 	choice, _ := v.Begin(Need{Service: "s", Zone: "z-a", ServerID: "a"}, start)
 	choice.ApplyAdvice(advice.Advice{RetryAfter: 3 * time.Second}, start)
 	v.Remove("b", start)
-	standIn, ok := v.Begin(Need{Service: "s", Zone: "z-a"}, start)
+	leaving, ok := v.Begin(Need{Service: "s", Zone: "z-a"}, start)
 	c.Assert(ok, qt.IsTrue)
-	c.Check(standIn.ID, qt.Equals, "b")
-	c.Check(standIn.MaySend(start), qt.IsTrue)
-	c.Check(standIn.MaySend(start.Add(defaultDrainBound)), qt.IsFalse)
+	c.Check(leaving.ID, qt.Equals, "b")
+	c.Check(leaving.MaySend(start), qt.IsTrue)
+	c.Check(leaving.MaySend(start.Add(defaultDrainBound)), qt.IsFalse)
 }
 
 func TestCandidatesInBackoffAreNotWaitedFor(t *testing.T) {
@@ -223,29 +223,30 @@
 	c.Check(choice.Candidate, qt.IsFalse)
 }
 
-// TestLastAttemptAvoidsServersThatMayDecline guards against requests whose last attempt goes to a
-// server that has just rested while sound ones stand beside.
+// TestLastAttemptAvoidsServersThatMayDecline guards against sending the last attempt of a request
+// to a server whose backoff has just ended while healthy servers are available.
 func TestLastAttemptAvoidsServersThatMayDecline(t *testing.T) {
 	c := qt.New(t)
 	v, _ := limitedView("a", "b")
 	choice, _ := v.Begin(Need{Service: "s", Zone: "z-a", ServerID: "a"}, start)
 	choice.ApplyAdvice(advice.Advice{RetryAfter: time.Second}, start)
 	choice.End(OutcomeFull, start)
-	rested := start.Add(time.Second)
+	backoffEnd := start.Add(time.Second)
 	picked := func(final bool, at time.Time) string {
 		choice, _ := v.Begin(Need{Service: "s", Zone: "z-a", Final: final}, at)
 		defer choice.End(OutcomeNeutral, at)
 		return choice.ID
 	}
-	c.Check(picked(false, rested), qt.Equals, "a", qt.Commentf("it is found out whether it serves again"))
-	c.Check(picked(true, rested), qt.Equals, "b")
-	c.Check(picked(true, rested.Add(probationPeriod)), qt.Equals, "a", qt.Commentf("also where each request has one attempt"))
-	served, _ := v.Begin(Need{Service: "s", Zone: "z-a", ServerID: "a"}, rested)
-	served.End(OutcomeServed, rested)
-	c.Check(picked(true, rested), qt.Equals, "a")
+	c.Check(picked(false, backoffEnd), qt.Equals, "a", qt.Commentf("earlier attempts may test it"))
+	c.Check(picked(true, backoffEnd), qt.Equals, "b")
+	c.Check(picked(true, backoffEnd.Add(probationPeriod)), qt.Equals, "a", qt.Commentf("requests with a single attempt use it again after probation"))
+	served, _ := v.Begin(Need{Service: "s", Zone: "z-a", ServerID: "a"}, backoffEnd)
+	served.End(OutcomeServed, backoffEnd)
+	c.Check(picked(true, backoffEnd), qt.Equals, "a")
 }
 
-// BenchmarkMergeLimits merges a report of 64 limits, as a lead gets hundreds of a second.
+// BenchmarkMergeLimits merges a report of 64 limits. A lead receives hundreds of such reports per
+// second.
 func BenchmarkMergeLimits(b *testing.B) {
 	for _, servers := range []int{160, 2600} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
--- a/internal/backend/notice.go
+++ b/internal/backend/notice.go
@@ -3,29 +3,31 @@
 import "time"
 
 const (
-	// longPrefillShare times a request's target is the reading time above which other daemons
-	// are told of its prompt at once: behind it a request with the same target has lost
-	// much of its time. Trials on the newest users' days, 4 seeds: 0.05 0.515, 0.15 0.533,
-	// 0.3 0.538, none 0.532.
+	// longPrefillShare is the prefill time, as a share of the request's target, above which other
+	// daemons are notified of the prompt at once. A request with the same target that queues behind
+	// it loses much of its time. Scores of other shares (higher is better): 0.515 at 0.05, 0.533 at
+	// 0.15, 0.538 at 0.3, 0.532 without notices.
 	longPrefillShare = 0.3
-	// noticeTTL is how long a notice counts: until the sums that hold it have come.
+	// noticeTTL is how long a notice counts. By then the load sums that include it have been
+	// received.
 	noticeTTL = 400 * time.Millisecond
 )
 
-// isLongPrefill reports whether a prompt keeps an engine reading for long, for its target.
-func isLongPrefill(reading, target time.Duration) bool {
-	return target > 0 && reading > time.Duration(longPrefillShare*float64(target))
+// isLongPrefill reports whether the prefill of a prompt takes long compared with the request's
+// target.
+func isLongPrefill(prefill, target time.Duration) bool {
+	return target > 0 && prefill > time.Duration(longPrefillShare*float64(target))
 }
 
-// peerNotices are what other daemons have sent to a server since the last sums.
+// peerNotices is the load that other daemons have announced for a server since the last load sums.
 type peerNotices struct {
-	// pendingTokens is what others have pending there, in prompt tokens, with what they have
-	// told of at once.
+	// pendingTokens is the number of prompt tokens that peers have pending on the server, including
+	// the announced ones.
 	pendingTokens int
 	expiresAt     time.Time
 }
 
-// RecordNotice takes over what another daemon has just sent to a server.
+// RecordNotice records a prompt that another daemon has just sent to a server.
 func (v *View) RecordNotice(key uint32, tokens int, now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -36,8 +38,9 @@
 	}
 }
 
-// peerPendingTokens returns the prompt tokens that others have pending at the server. Sums
-// that hold what was told at once are higher than it.
+// peerPendingTokens returns the number of prompt tokens that other daemons have pending on the
+// server. It is the maximum of the load sums and the notices, because sums that include the
+// announced prompts must not count them twice.
 func (s *server) peerPendingTokens(now time.Time) int {
 	pending := 0
 	if now.Sub(s.peerLoadAt) < peerLoadTTL {
--- a/internal/backend/notice_test.go
+++ b/internal/backend/notice_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestShortPromptsAvoidNoticedServers: a short prompt goes elsewhere at once when
-// another daemon has told of a long one, and comes back when sums without it come.
+// TestShortPromptsAvoidNoticedServers checks that a short prompt avoids its home as soon as another
+// daemon has announced a long prompt there, and returns when the load sums no longer contain it.
 func TestShortPromptsAvoidNoticedServers(t *testing.T) {
 	c := qt.New(t)
 	v := modelView("a", "b", "c", "d")
@@ -25,7 +25,8 @@
 	c.Check(again.ID, qt.Equals, home.ID)
 }
 
-// TestNoticesAreNotAddedToPeerLoads: sums that hold what was told at once count it once.
+// TestNoticesAreNotAddedToPeerLoads checks that load that was announced and is also contained in
+// the load sums is counted once.
 func TestNoticesAreNotAddedToPeerLoads(t *testing.T) {
 	c := qt.New(t)
 	v := modelView("a")
@@ -36,19 +37,19 @@
 	c.Check(v.Servers(start.Add(100 * time.Millisecond))[0].PendingTokens, qt.Equals, 35_000)
 }
 
-// TestLongPromptsDoNotHoldUpShortOnes plays 7 daemons that hear sums every 0.3 s and are
-// sent a long prompt now and then among many short ones. With notices fewer short ones
-// land behind a long one.
+// TestLongPromptsDoNotHoldUpShortOnes simulates 7 daemons that receive load sums every 0.3 s. They
+// are sent many short prompts and an occasional long one. With notices fewer short prompts must
+// queue behind a long one.
 func TestLongPromptsDoNotHoldUpShortOnes(t *testing.T) {
 	c := qt.New(t)
 	without, with := countShortsBehindLong(false), countShortsBehindLong(true)
 	c.Check(with*4 <= without, qt.IsTrue, qt.Commentf("%d with notices, %d without", with, without))
 }
 
-// countShortsBehindLong returns how many short prompts were sent to a server on which another
-// daemon's long one was being read.
+// countShortsBehindLong returns how many short prompts were sent to a server that was processing a
+// long prompt.
 func countShortsBehindLong(notices bool) int {
-	const daemons, servers, reading = 7, 12, 400 * time.Millisecond
+	const daemons, servers, prefill = 7, 12, 400 * time.Millisecond
 	views := make([]*View, daemons)
 	var ids []string
 	for i := range servers {
@@ -74,7 +75,7 @@
 		v := views[tick%daemons]
 		if tick%40 == 0 {
 			long, _ := v.Begin(Need{Service: "s", PromptTokens: 40_000, Parts: []PromptPart{{fmt.Sprint("long", tick), 40_000}}, Target: 500 * time.Millisecond}, now)
-			busyUntil[long.ID] = now.Add(reading)
+			busyUntil[long.ID] = now.Add(prefill)
 			if notices && long.LongPrefill {
 				for _, other := range views {
 					if other != v {
@@ -94,7 +95,7 @@
 	return behind
 }
 
-// peerLoadsOf adds up what all daemons but one have in flight.
+// peerLoadsOf returns the sum of the loads of all daemons except one.
 func peerLoadsOf(views []*View, but int) map[uint32]Load {
 	sum := map[uint32]Load{}
 	for i, v := range views {
--- a/internal/backend/pace.go
+++ b/internal/backend/pace.go
@@ -5,7 +5,7 @@
 	"github.com/plankridge/plankridge/internal/pace"
 )
 
-// engineFor returns what was learned of a service's engines, nil for a plain service. The
+// engineFor returns the model of the speed of a service's engines, or nil for a plain service. The
 // caller holds the lock.
 func (v *View) engineFor(service string) *pace.Engine {
 	traits := v.traits[service]
@@ -21,7 +21,8 @@
 	return v.engines[service]
 }
 
-// EngineFigures returns what this daemon has learned of the engines, by service.
+// EngineFigures returns the parameters that this daemon has learned of the engines' speed, by
+// service.
 func (v *View) EngineFigures() map[string]pace.EngineFigures {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -32,7 +33,8 @@
 	return figures
 }
 
-// MergeEngineFigures takes over what other daemons have learned of the engines.
+// MergeEngineFigures merges the parameters that other daemons have learned. Those of a service that
+// is not configured yet are kept until it is.
 func (v *View) MergeEngineFigures(figures map[string]pace.EngineFigures) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -46,8 +48,8 @@
 	}
 }
 
-// attemptLoad returns what an attempt asks of the engines. A batch that is half full is
-// taken for the speed of its stream.
+// attemptLoad returns the predicted load of an attempt on the engines. The stream's speed is
+// predicted for a half-full batch.
 func attemptLoad(work pace.Work, answer pace.Answer, traits Traits, slots int, engines *pace.Engine) demand.Load {
 	held := (engines.FirstEvent(work) + engines.Stream(answer, slots/2)).Seconds()
 	load := demand.Load{
--- a/internal/backend/pick.go
+++ b/internal/backend/pick.go
@@ -9,57 +9,58 @@
 	"github.com/plankridge/plankridge/internal/route"
 )
 
-// Need is what an attempt asks for.
+// Need describes what an attempt requires of a server.
 type Need struct {
 	Service string
 	Zone    string
-	// PromptTokens is the size of the prompt; Parts are its parts in order.
+	// PromptTokens is the size of the prompt, and Parts are its parts in order.
 	PromptTokens int
 	Parts        []PromptPart
-	// Answer is what the caller says of the answer's size. Resumed is set where it has the
-	// first part of it.
+	// Answer is the caller's information on the size of the answer. Resumed is set if the caller
+	// already has the first part of the answer.
 	Answer  pace.Answer
 	Resumed bool
-	Target  time.Duration
-	// Tried are servers to avoid.
+	// Target is the route's target for the time to the first event.
+	Target time.Duration
+	// Tried holds the IDs of servers to avoid.
 	Tried map[string]bool
-	// Final is set for an attempt after which no other may follow.
+	// Final is set for the last attempt of a request.
 	Final bool
-	// Deferred attempts go behind all others at the engine.
+	// Deferred is set for attempts that the engine runs after all others.
 	Deferred bool
-	// SampleSeed is a number that differs between requests. It picks the servers that
-	// are looked at beside the homes of the prompt, where there are many.
+	// SampleSeed differs between requests. It selects the servers that are considered beside the
+	// homes of the prompt if there are many servers.
 	SampleSeed uint64
-	// Candidate asks for a server of the version that a roll-out tries.
+	// Candidate requests a server of the candidate version of a roll-out.
 	Candidate bool
-	// ServerID names the one server to use; empty leaves the choice to the view.
+	// ServerID restricts the choice to one server, unless it is empty.
 	ServerID string
 }
 
-// Begin picks a server for an attempt and counts the attempt in. It returns
-// false when the service has none to offer.
+// Begin picks a server for an attempt and adds the attempt to its load. It returns false if the
+// service has no usable server.
 func (v *View) Begin(need Need, now time.Time) (*Choice, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	choice, ok := v.begin(need, now)
 	if !ok && need.Candidate {
-		// Nothing waits for a candidate.
+		// An attempt for the candidate falls back to the stable version instead of waiting.
 		need.Candidate = false
 		choice, ok = v.begin(need, now)
 	}
 	return choice, ok
 }
 
-// begin is Begin for one track of a roll-out. The few servers that suit the request are looked at
-// first, then all, and those that leave where the others rest or are at their limits. The caller
-// holds the lock.
+// begin is Begin for one track of a roll-out. It considers the shortlist first, then all servers,
+// and then leaving servers as a last resort if all others back off or are at their limits. The
+// caller holds the lock.
 func (v *View) begin(need Need, now time.Time) (*Choice, bool) {
 	inService, candidate := v.trackServers(need, now)
-	few := shortlist(inService, need)
-	if choice, ok := v.beginAmong(few, candidate, need, now); ok {
+	shortlisted := shortlist(inService, need)
+	if choice, ok := v.beginAmong(shortlisted, candidate, need, now); ok {
 		return choice, true
 	}
-	if len(few) < len(inService) {
+	if len(shortlisted) < len(inService) {
 		if choice, ok := v.beginAmong(inService, candidate, need, now); ok {
 			return choice, true
 		}
@@ -71,14 +72,14 @@
 	return choice, ok
 }
 
-// beginAmong picks one of some servers; the caller holds the lock.
+// beginAmong is begin for a given list of servers. The caller holds the lock.
 func (v *View) beginAmong(servers []*server, candidate bool, need Need, now time.Time) (*Choice, bool) {
 	traits := v.traits[need.Service]
 	prompt := newPlacement(need.Parts, servers, traits, now)
 	engines := v.engineFor(need.Service)
-	offers := v.routeServers(servers, need, prompt, traits, engines, now)
+	routeServers := v.routeServers(servers, need, prompt, traits, engines, now)
 	routing := route.Need{Zone: need.Zone, Target: need.Target, Tried: need.Tried, AnyZone: traits.CacheTokens > 0}
-	picked, admitted, ok := v.admit(offers, routing, now)
+	picked, admitted, ok := v.admit(routeServers, routing, now)
 	if !ok {
 		return nil, false
 	}
@@ -97,55 +98,58 @@
 	return choice, true
 }
 
-// routeServers returns what the servers that may be used offer an attempt.
+// routeServers returns the servers as package route rates them. The caller holds the lock.
 func (v *View) routeServers(servers []*server, need Need, prompt placement, traits Traits, engines *pace.Engine, now time.Time) []route.Server {
-	offers := make([]route.Server, 0, len(servers))
+	routeServers := make([]route.Server, 0, len(servers))
 	for _, s := range servers {
 		if need.ServerID != "" && s.ID != need.ServerID {
 			continue
 		}
-		offer := s.routeServer(s.work(prompt, traits, need), engines, now)
+		rs := s.routeServer(s.work(prompt, traits, need), engines, now)
 		if need.Deferred && engines != nil {
-			offer.Queue += engines.Queue(s.deferredTokens)
+			rs.Queue += engines.Queue(s.deferredTokens)
 		}
-		offer.CrossZoneLatency = v.crossZoneLatency(s.Zone, need.Zone)
-		offer.Leaving = s.backingOff(now)
-		offer.Suspect = offer.Suspect || (need.Final && s.onProbation(now))
-		offers = append(offers, offer)
+		rs.CrossZoneLatency = v.crossZoneLatency(s.Zone, need.Zone)
+		rs.Leaving = s.backingOff(now)
+		rs.Suspect = rs.Suspect || (need.Final && s.onProbation(now))
+		routeServers = append(routeServers, rs)
 	}
-	return offers
+	return routeServers
 }
 
-// eligibleServers returns the servers in service, or those that leave when there is
-// no other, in the order of their IDs. Those in service are kept until one comes or leaves: to
-// collect and rank 2,600 for each request took 3.2 ms of a core (BenchmarkChoice).
-func (v *View) eligibleServers(of track, now time.Time) []*server {
-	if ready, kept := v.inService[of]; kept {
+// eligibleServers returns the ready servers of a track, or the leaving ones that are still usable
+// if there is no ready one, in order of ID. The list of ready servers is cached until one is added
+// or leaves: collecting and sorting 2,600 servers for each request took 3.2 ms of CPU time. The
+// caller holds the lock.
+func (v *View) eligibleServers(t track, now time.Time) []*server {
+	if ready, cached := v.inService[t]; cached {
 		return ready
 	}
-	ready := v.matchingServers(of, func(s *server) bool { return s.ready() })
+	ready := v.matchingServers(t, func(s *server) bool { return s.ready() })
 	if len(ready) == 0 {
-		return v.lastResortServers(of, now)
+		return v.lastResortServers(t, now)
 	}
-	if of.candidate && !v.versionsOf(of.service).AllCandidates {
+	if t.candidate && !v.versionsOf(t.service).AllCandidates {
 		ready = candidateSubset(ready)
 	}
-	v.inService[of] = ready
+	v.inService[t] = ready
 	return ready
 }
 
-// lastResortServers returns the servers that leave and may still be used.
-func (v *View) lastResortServers(of track, now time.Time) []*server {
-	return v.matchingServers(of, func(s *server) bool { return !s.ready() && s.usableAsLastResort(now) })
+// lastResortServers returns the leaving servers of a track that are still usable. The caller holds
+// the lock.
+func (v *View) lastResortServers(t track, now time.Time) []*server {
+	return v.matchingServers(t, func(s *server) bool { return !s.ready() && s.usableAsLastResort(now) })
 }
 
-// matchingServers returns the servers of one side for which a condition holds, in the order of their IDs.
-func (v *View) matchingServers(of track, holds func(s *server) bool) []*server {
+// matchingServers returns the servers of a track that satisfy a condition, in order of ID. The
+// caller holds the lock.
+func (v *View) matchingServers(t track, matches func(s *server) bool) []*server {
 	var servers []*server
-	named := v.reportsIncarnations(of.service)
-	versions := v.versionsOf(of.service)
+	required := v.reportsIncarnations(t.service)
+	versions := v.versionsOf(t.service)
 	for _, s := range v.servers {
-		if s.Service != of.service || named && s.StartTimeMs == 0 || !versions.allows(s.Version, of.candidate) || !holds(s) {
+		if s.Service != t.service || required && s.StartTimeMs == 0 || !versions.allows(s.Version, t.candidate) || !matches(s) {
 			continue
 		}
 		servers = append(servers, s)
@@ -154,19 +158,19 @@
 	return servers
 }
 
-// work returns what an attempt would ask of the server's engine.
+// work returns the work of an attempt on the server's engine.
 func (s *server) work(prompt placement, traits Traits, need Need) pace.Work {
 	work := pace.Work{Prompt: need.PromptTokens, Unread: need.PromptTokens}
 	if traits.CacheTokens > 0 {
-		kept, copied := prompt.cachedAndFetched(s)
-		work.Unread, work.Copied = max(0, need.PromptTokens-kept-copied), copied
+		cached, copied := prompt.cachedAndFetched(s)
+		work.Unread, work.Copied = max(0, need.PromptTokens-cached-copied), copied
 	}
 	return work
 }
 
 func (s *server) routeServer(work pace.Work, engines *pace.Engine, now time.Time) route.Server {
 	load := s.load(now)
-	offer := route.Server{
+	rs := route.Server{
 		ID: s.ID, Zone: s.Zone, Address: s.Address,
 		Suspect:     s.suspect(now),
 		Running:     load.Running,
@@ -175,9 +179,9 @@
 		ExcessDelay: s.WarmupLeft,
 	}
 	if engines != nil {
-		slower := s.slowdownFactor(now)
-		offer.Queue = time.Duration(slower * float64(engines.Queue(load.PendingTokens)))
-		offer.IdleWait = time.Duration(slower * float64(engines.FirstEvent(work)))
+		slowdown := s.slowdownFactor(now)
+		rs.Queue = time.Duration(slowdown * float64(engines.Queue(load.PendingTokens)))
+		rs.IdleWait = time.Duration(slowdown * float64(engines.FirstEvent(work)))
 	}
-	return offer
+	return rs
 }
--- a/internal/backend/placement.go
+++ b/internal/backend/placement.go
@@ -2,26 +2,28 @@
 
 import "time"
 
-// minFetchTokens is the least number of tokens that are worth copying from another
-// engine: a copy has a setup, and the link is shared.
+// minFetchTokens is the smallest number of tokens that is copied from another engine: a copy has a
+// setup cost, and the link is shared.
 const minFetchTokens = 512
 
-// placement is where the parts of one prompt are predicted to be kept.
+// placement predicts on which servers the parts of one prompt are cached.
 type placement struct {
 	parts []PromptPart
 	home  *server
-	// sentTokens holds, by server, the leading tokens that this daemon has sent there.
+	// sentTokens is the number of leading prompt tokens that this daemon has sent to each server
+	// and that should still be cached there.
 	sentTokens map[*server]int
-	// bestSource is the server with most of them, among those that answer.
+	// bestSource is the server with most cached tokens among those that are not suspect.
 	bestSource *server
-	// canFetch is set when engines copy parts from each other.
+	// canFetch is set if engines can copy parts from each other.
 	canFetch bool
-	// homeEmpty is set for a home that has lately started again.
+	// homeEmpty is set if the home server has restarted recently, so that its cache is assumed to
+	// be empty.
 	homeEmpty bool
 }
 
-// newPlacement predicts where the parts of a prompt are kept among the servers
-// of its service.
+// newPlacement predicts where the parts of a prompt are cached among the given servers of its
+// service.
 func newPlacement(parts []PromptPart, servers []*server, traits Traits, now time.Time) placement {
 	p := placement{parts: parts, canFetch: traits.FetchRate > 0}
 	if traits.CacheTokens == 0 || len(parts) == 0 {
@@ -40,22 +42,24 @@
 		}
 	}
 	if p.bestSource != nil && p.sentTokens[p.bestSource] < minFetchTokens && p.home != nil && !p.homeEmpty && !p.home.suspect(now) {
-		// This daemon has sent the prompt nowhere; others will have used the home.
+		// This daemon has sent the prompt to no server; other daemons will have sent it to its
+		// home.
 		p.bestSource = p.home
 	}
 	return p
 }
 
-// cachedAndFetched returns the leading tokens that a server is predicted to keep, and
-// those that it can copy from another server beyond them.
-func (p *placement) cachedAndFetched(s *server) (kept, fetched int) {
-	kept = p.cachedTokens(s)
+// cachedAndFetched returns the number of leading tokens that a server is predicted to have cached,
+// and the number of further tokens that it can copy from another server.
+func (p *placement) cachedAndFetched(s *server) (cached, fetched int) {
+	cached = p.cachedTokens(s)
 	if p.fetchSource(s) == "" {
-		return kept, 0
+		return cached, 0
 	}
-	return kept, max(0, p.cachedTokens(p.bestSource)-kept)
+	return cached, max(0, p.cachedTokens(p.bestSource)-cached)
 }
 
+// cachedTokens returns the number of leading tokens that a server is predicted to have cached.
 func (p *placement) cachedTokens(s *server) int {
 	if s == p.home && !p.homeEmpty {
 		return max(p.sentTokens[s], sharedTokens(p.parts))
@@ -63,9 +67,9 @@
 	return p.sentTokens[s]
 }
 
-// fetchSource returns the address of the server that another one should copy from,
-// or nothing. A home that this daemon has not used may be a new server, which
-// copies what its predecessor keeps.
+// fetchSource returns the address of the server that s should copy parts from, or an empty string.
+// A home server that this daemon has not used may be new, and then copies the parts from its
+// predecessor.
 func (p *placement) fetchSource(s *server) string {
 	if !p.canFetch || p.bestSource == nil || p.bestSource == s || p.cachedTokens(p.bestSource)-p.sentTokens[s] < minFetchTokens {
 		return ""
--- a/internal/backend/placement_test.go
+++ b/internal/backend/placement_test.go
@@ -6,7 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// promptParts has a part that many prompts share, one that some share, and its own.
+// promptParts returns a part that all prompts share, one that the prompts of a session share, and
+// an own part.
 func promptParts(session, own string) []PromptPart {
 	return []PromptPart{{ID: "all", Tokens: 2500}, {ID: session, Tokens: 4000}, {ID: own, Tokens: 2000}}
 }
@@ -27,7 +28,8 @@
 	return choice
 }
 
-// loadWithSession keeps the picked servers busy until each has got the same session.
+// loadWithSession begins as many prompts of one session as servers are to be loaded, and adds
+// pending tokens to each picked server so that the next prompt goes elsewhere.
 func loadWithSession(v *View, session string, servers int) []*Choice {
 	var choices []*Choice
 	for i := range servers {
--- a/internal/backend/shortlist.go
+++ b/internal/backend/shortlist.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// maxFullScan is the number of servers up to which all are looked at.
+	// maxFullScan is the number of servers up to which all of them are considered.
 	maxFullScan = 16
-	// homeCount is the number of servers that all daemons take for homes of a prompt,
-	// drawn the number of others that are looked at.
+	// homeCount is the number of servers that all daemons treat as homes of a prompt, and
+	// sampleCount the number of other servers that are considered.
 	homeCount   = 2
 	sampleCount = 2
 )
 
-// shortlist returns the servers that are looked at for a request. What a daemon
-// knows of loads is old, and many daemons know the same: were all servers looked
-// at, all daemons would send to the same few. So each request looks at the homes
-// of its prompt and at a few servers drawn for it.
+// shortlist returns the servers that are considered for a request. The known loads are old, and
+// many daemons know the same ones: if all servers were considered, all daemons would send to the
+// same few. So each request considers the homes of its prompt and a few servers sampled by its
+// seed.
 func shortlist(servers []*server, need Need) []*server {
 	if len(servers) <= maxFullScan || need.ServerID != "" {
 		return servers
@@ -39,19 +39,19 @@
 	return list
 }
 
-// topHomes returns the servers of most weight for a key, that of most first. There are
-// more servers than homes.
+// topHomes returns the two servers of highest rendezvous weight for a key, the highest first. The
+// list must hold at least two servers.
 func topHomes(key string, servers []*server) []*server {
 	keyHash := xxhash.Sum64String(key)
 	var first, second *server
-	var most, next uint64
+	var firstWeight, secondWeight uint64
 	for _, s := range servers {
 		switch weight := s.rendezvousWeight(keyHash); {
-		case first == nil || weight > most:
-			second, next = first, most
-			first, most = s, weight
-		case second == nil || weight > next:
-			second, next = s, weight
+		case first == nil || weight > firstWeight:
+			second, secondWeight = first, firstWeight
+			first, firstWeight = s, weight
+		case second == nil || weight > secondWeight:
+			second, secondWeight = s, weight
 		}
 	}
 	return append(make([]*server, 0, homeCount+sampleCount), first, second)
--- a/internal/backend/shortlist_test.go
+++ b/internal/backend/shortlist_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestManyDaemonsDoNotAllPickTheSameServer: daemons that know the same loads,
-// all of them old, spread their requests over many servers.
+// TestManyDaemonsDoNotAllPickTheSameServer checks that daemons with the same outdated loads spread
+// their requests over many servers.
 func TestManyDaemonsDoNotAllPickTheSameServer(t *testing.T) {
 	c := qt.New(t)
 	var ids []string
@@ -18,7 +18,7 @@
 	picks := map[string]int{}
 	for daemon := range 200 {
 		v := engineView(124_000, ids...)
-		// Each server but one is told to be a little busy.
+		// All servers but one have some load.
 		for _, id := range ids[1:] {
 			v.servers[id].ownLoad.PendingTokens = 4000
 		}
@@ -44,8 +44,8 @@
 	}
 	v := engineView(124_000, ids...)
 	first, _ := v.Begin(Need{Service: "s", PromptTokens: 8500, Parts: promptParts("session", "A"), SampleSeed: 1}, start)
-	for draw := range uint64(20) {
-		list := shortlist(v.eligibleServers(track{service: "s"}, start), Need{Parts: promptParts("session", "B"), SampleSeed: draw})
+	for seed := range uint64(20) {
+		list := shortlist(v.eligibleServers(track{service: "s"}, start), Need{Parts: promptParts("session", "B"), SampleSeed: seed})
 		c.Assert(list, qt.HasLen, homeCount+sampleCount)
 		c.Check(list[0].ID == first.ID || list[1].ID == first.ID, qt.IsTrue)
 	}
--- a/internal/backend/versions.go
+++ b/internal/backend/versions.go
@@ -6,34 +6,33 @@
 	"time"
 )
 
-// Versions says which versions of a service's servers may be used. The zero value allows
-// all of them.
+// Versions says which versions of a service's servers may be used. The zero value allows all of
+// them.
 type Versions struct {
-	// Enforced is set where versions matter: then a server of any other version than these two
-	// gets nothing.
+	// Enforced is set if only servers of the stable and the candidate version may be used.
 	Enforced bool
-	// Stable is the version that requests go to, empty while it is not known.
+	// Stable is the version that requests use, or empty while it is unknown.
 	Stable string
-	// Candidate is the version that a roll-out tries, or empty. Attempts go there only if
-	// they ask for it.
+	// Candidate is the version under roll-out, or empty. Only attempts that request the candidate
+	// use it.
 	Candidate string
-	// AllCandidates is set once every server of the candidate is used.
+	// AllCandidates is set once all servers of the candidate version are used.
 	AllCandidates bool
 }
 
-// maxCandidateSubset is the number of the candidate's servers that are used before all are: a
-// small share of all requests on few servers loads each of them as much as the others, so
-// that a version that is bad under load only shows it, and three tell a bad version from one
-// bad server.
+// maxCandidateSubset is the number of candidate servers that are used before AllCandidates is set.
+// The candidate gets a small share of the requests; on few servers each of them is loaded as much
+// as a stable server, so that a version that fails only under load shows it. Three servers
+// distinguish a bad version from one bad server.
 const maxCandidateSubset = 3
 
-// track is a list of servers of a service that attempts choose from.
+// track selects the stable or the candidate servers of a service.
 type track struct {
 	service   string
 	candidate bool
 }
 
-// SetVersions takes over which versions of a service may be used.
+// SetVersions sets which versions of a service may be used.
 func (v *View) SetVersions(service string, versions Versions) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -44,7 +43,7 @@
 	clear(v.inService)
 }
 
-// EnforceVersions makes versions matter for every service: until SetVersions names those of a
+// EnforceVersions restricts the versions of every service: until SetVersions is called for a
 // service, none of its servers may be used.
 func (v *View) EnforceVersions() {
 	v.mu.Lock()
@@ -52,7 +51,7 @@
 	v.enforceVersions = true
 }
 
-// versionsOf returns which versions of a service may be used; the caller holds the lock.
+// versionsOf returns which versions of a service may be used. The caller holds the lock.
 func (v *View) versionsOf(service string) Versions {
 	if versions, named := v.versions[service]; named {
 		return versions
@@ -60,7 +59,7 @@
 	return Versions{Enforced: v.enforceVersions}
 }
 
-// allows reports whether servers of a version may be chosen on one side.
+// allows reports whether servers of a version may be used on one track.
 func (v Versions) allows(version string, candidate bool) bool {
 	switch {
 	case !v.Enforced:
@@ -71,14 +70,15 @@
 	return v.Stable != "" && version == v.Stable
 }
 
-// versionAllowed reports whether a server may be used at all.
+// versionAllowed reports whether the server's version may be used on any track. The caller holds
+// the lock.
 func (v *View) versionAllowed(s *server) bool {
 	versions := v.versionsOf(s.Service)
 	return versions.allows(s.Version, false) || versions.allows(s.Version, true)
 }
 
-// candidateSubset returns the servers of a candidate that are used before all are, the same at every
-// daemon.
+// candidateSubset returns the candidate servers that are used before AllCandidates is set. All
+// daemons choose the same ones.
 func candidateSubset(servers []*server) []*server {
 	if len(servers) <= maxCandidateSubset {
 		return servers
@@ -90,17 +90,17 @@
 	return chosen
 }
 
-// trackServers returns the servers that an attempt chooses from, and whether they are the
-// candidate's. Nothing waits for a candidate: where none of its servers is there, or all are
-// suspect, the attempt goes to the stable version. Where that has none left, it goes to a
-// candidate that all requests may go to.
+// trackServers returns the servers that an attempt may use, and whether they are of the candidate
+// version. An attempt for the candidate falls back to the stable version if no candidate server is
+// healthy. If the stable version has no server left, attempts use the candidate once AllCandidates
+// is set. The caller holds the lock.
 func (v *View) trackServers(need Need, now time.Time) (servers []*server, candidate bool) {
 	versions := v.versionsOf(need.Service)
 	if need.Candidate {
-		tried := v.eligibleServers(track{need.Service, true}, now)
-		sound := slices.ContainsFunc(tried, func(s *server) bool { return s.ready() && !s.suspect(now) && !s.backingOff(now) })
-		if sound {
-			return tried, true
+		candidates := v.eligibleServers(track{need.Service, true}, now)
+		healthy := slices.ContainsFunc(candidates, func(s *server) bool { return s.ready() && !s.suspect(now) && !s.backingOff(now) })
+		if healthy {
+			return candidates, true
 		}
 	}
 	servers = v.eligibleServers(track{need.Service, false}, now)
@@ -110,27 +110,27 @@
 	return servers, false
 }
 
-// NewestRevision returns the highest revision of the listed servers of some services.
-func (v *View) NewestRevision(of func(service string) bool) (revision int64) {
+// NewestRevision returns the highest store revision of the listed servers of the selected services.
+func (v *View) NewestRevision(selects func(service string) bool) (revision int64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, s := range v.servers {
-		if s.listed && of(s.Service) {
+		if s.listed && selects(s.Service) {
 			revision = max(revision, s.Revision)
 		}
 	}
 	return revision
 }
 
-// VersionCount is the number of servers that take work, and what is in flight there, by
-// version of a service.
+// VersionCount is the number of ready servers of one version of a service, and the number of
+// requests running on all its servers.
 type VersionCount struct {
 	Service, Version string
 	Servers, Running int
 }
 
-// CountVersions counts the listed servers by version, those whose entry is at most as new as
-// a revision of the store.
+// CountVersions counts the listed servers by service and version. It ignores entries that are newer
+// than the given revision of the store.
 func (v *View) CountVersions(revision int64, now time.Time) []VersionCount {
 	type group struct{ service, version string }
 	v.mu.Lock()
--- a/internal/backend/view.go
+++ b/internal/backend/view.go
@@ -12,48 +12,50 @@
 	"github.com/plankridge/plankridge/internal/pace"
 )
 
-// Traits are what the configuration says of a service's servers.
+// Traits are the configured properties of a service's servers.
 type Traits struct {
-	// CacheTokens is the memory of a model engine, in tokens. Zero marks a plain
-	// service.
+	// CacheTokens is the memory of a model engine for running requests and cached prompt parts, in
+	// tokens. Zero marks a plain service.
 	CacheTokens int
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
-	// FetchRate is in tokens per second that an engine's link carries when it copies
-	// from another one. Zero means that it cannot.
+	// FetchRate is the rate at which an engine copies prompt parts from another one over its link,
+	// in tokens per second. Zero means that it cannot.
 	FetchRate float64
 }
 
-// View holds the backend servers. It may be used by several goroutines.
+// View holds the state of all backend servers. It is safe for concurrent use.
 type View struct {
 	mu      sync.Mutex
 	servers map[string]*server
 	traits  map[string]Traits
-	// connectTimes are how long connections to the zones take to open.
+	// connectTimes are the average connect times to the zones.
 	connectTimes map[string]connectTime
-	// engines are what was learned of the engines, by service.
+	// engines are the models of the engines' speed, by service.
 	engines map[string]*pace.Engine
-	// unappliedFigures are figures that others told before the configuration of the service came.
+	// unappliedFigures are the parameters that other daemons reported for services that are not
+	// configured yet.
 	unappliedFigures map[string]pace.EngineFigures
-	outageEnd        time.Time
-	// drainBound is how long a draining server may be sent requests after the store has acknowledged
-	// that it drains.
+	// outageEnd is when the store last recovered from an outage.
+	outageEnd time.Time
+	// drainBound is how long a draining server may be sent requests after the store has
+	// acknowledged that it drains.
 	drainBound time.Duration
-	// inService are the servers in service, by service, as far as they were asked for
-	// since one last came or left.
+	// inService caches the ready servers of each track until a server is added or leaves.
 	inService map[track][]*server
-	// versions say which versions may be used, by service.
+	// versions are the allowed versions, by service.
 	versions map[string]Versions
-	// enforceVersions is set where versions matter.
+	// enforceVersions is set if no version of a service may be used until SetVersions is called for
+	// it.
 	enforceVersions bool
-	// prunedAt is when servers to forget were last looked for.
+	// prunedAt is when prune last ran.
 	prunedAt time.Time
-	// listed is set once a whole list was taken over.
+	// listed is set once a complete list was received.
 	listed  bool
 	changed chan struct{}
-	// keyIndex are the servers by their keys, or nil where that has to be made anew.
+	// keyIndex holds the servers by key, or is nil if it has to be rebuilt.
 	keyIndex map[uint32]*server
-	// limiter shares the limits that servers name. Nil keeps none.
+	// limiter enforces the servers' limits. If it is nil they are not enforced.
 	limiter Limiter
 }
 
@@ -62,35 +64,35 @@
 	return &View{servers: map[string]*server{}, traits: map[string]Traits{}, connectTimes: map[string]connectTime{}, engines: map[string]*pace.Engine{}, unappliedFigures: map[string]pace.EngineFigures{}, inService: map[track][]*server{}, versions: map[string]Versions{}, changed: make(chan struct{}), drainBound: defaultDrainBound}
 }
 
-// SetTraits takes over what a configuration says of the services.
+// SetTraits sets the configured properties of all services.
 func (v *View) SetTraits(traits map[string]Traits) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.traits = traits
 }
 
-// Changed returns a channel that is closed when a server comes or goes.
+// Changed returns a channel that is closed at the next change of the server list.
 func (v *View) Changed() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.changed
 }
 
-// notifyChanged lets all know that the list has changed.
+// notifyChanged wakes all that wait for a change of the server list. The caller holds the lock.
 func (v *View) notifyChanged() {
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
 
-// StoreReturned notes that the store answers again after an outage.
+// StoreReturned records that the store is available again after an outage.
 func (v *View) StoreReturned(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.outageEnd = now
 }
 
-// Replace takes over a whole list. Servers that are missing have left. It returns the
-// entries of servers that have started again as they were before.
+// Replace applies a complete list. Servers that are not in it have left. It returns the previous
+// entries of the servers that have restarted.
 func (v *View) Replace(entries []Entry, seen Observation) (ended []Entry) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -110,25 +112,24 @@
 	return ended
 }
 
-// Listed reports whether the servers are known: before, that there are none says
-// nothing.
+// Listed reports whether a complete list was received. Before that, an empty view does not mean
+// that there are no servers.
 func (v *View) Listed() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.listed
 }
 
-// Put takes over a new or changed entry as of now. If the server has started again it returns its
-// entry as it was before.
+// Put applies a new or changed entry. If the server has restarted, it returns the previous entry.
 func (v *View) Put(e Entry, now time.Time) (ended []Entry) {
 	return v.Update([]Entry{e}, nil, Observed(now))
 }
 
-// Remove takes over that an entry is gone from the list as of now.
+// Remove applies the removal of an entry from the list.
 func (v *View) Remove(id string, now time.Time) { v.Update(nil, []string{id}, Observed(now)) }
 
-// Update takes over new and changed entries and the IDs of those that are gone from the
-// list. It returns the entries of servers that have started again as they were before.
+// Update applies new and changed entries, and the removal of entries by their IDs. It returns the
+// previous entries of the servers that have restarted.
 func (v *View) Update(entries []Entry, gone []string, seen Observation) (ended []Entry) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -145,6 +146,7 @@
 	return ended
 }
 
+// putEntry applies one entry; see Update. The caller holds the lock.
 func (v *View) putEntry(e Entry, seen Observation) (ended []Entry) {
 	now := seen.ReceivedAt
 	s := v.servers[e.ID]
@@ -165,7 +167,7 @@
 	}
 	before, service, version := s.ready(), s.Service, s.Version
 	if e.StartTimeMs != s.StartTimeMs {
-		// An incarnation that was not named before.
+		// The entry identifies its incarnation for the first time.
 		s.key, v.keyIndex = KeyOf(e), nil
 		clear(v.inService)
 	}
@@ -183,14 +185,15 @@
 	return ended
 }
 
-// departedRetention is how long a server that has left is remembered, for attempts
-// that are still on their way.
+// departedRetention is how long the state of a server that has left is kept, for attempts that are
+// still in flight.
 const departedRetention = time.Minute
 
-// pruneInterval is the time between two walks over all servers for those to forget. With a
-// walk for each changed entry, one of 3,000 servers took 33 µs.
+// pruneInterval is the time between two runs of prune. Running it for each changed entry took 33 µs
+// per change at 3,000 servers.
 const pruneInterval = time.Second
 
+// prune deletes servers that left long ago. The caller holds the lock.
 func (v *View) prune(now time.Time) {
 	if now.Sub(v.prunedAt) < pruneInterval {
 		return
@@ -205,7 +208,7 @@
 	}
 }
 
-// Sweep expires old advice of servers. It is called periodically.
+// Sweep expires old limits and leaving notices. It must be called periodically.
 func (v *View) Sweep(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -213,7 +216,7 @@
 	v.sweepLeavingNotices(now)
 }
 
-// SetPeerLoads takes over what all other daemons have in flight, by key.
+// SetPeerLoads sets the sum of the loads of all other daemons, by server key.
 func (v *View) SetPeerLoads(loads map[uint32]Load, now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -233,7 +236,7 @@
 	return keys
 }
 
-// OwnLoads returns what this daemon has in flight, by key.
+// OwnLoads returns this daemon's load on each server, by server key.
 func (v *View) OwnLoads() map[uint32]Load {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -246,25 +249,25 @@
 	return loads
 }
 
-// incarnationShare is the share of a service's servers from which on all are taken to tell their
-// incarnation. Were one enough, a single entry of another writer would take all servers away
-// where none tells it.
+// incarnationShare is the share of a service's servers from which on all of them are expected to
+// report their incarnation. If a single one were enough, one entry by a foreign writer would
+// exclude all servers of a service that does not report incarnations.
 const incarnationShare = 0.75
 
-// reportsIncarnations reports whether servers of a service tell their incarnation. An entry
-// without one is then of another writer and names no server to use.
+// reportsIncarnations reports whether the servers of a service report their incarnation. If so, an
+// entry without one was written by something else and must not be used. The caller holds the lock.
 func (v *View) reportsIncarnations(service string) bool {
-	listed, telling := 0, 0
+	listed, reporting := 0, 0
 	for _, s := range v.servers {
 		if !s.listed || s.Service != service {
 			continue
 		}
 		listed++
 		if s.StartTimeMs != 0 {
-			telling++
+			reporting++
 		}
 	}
-	return telling > 0 && float64(telling) >= incarnationShare*float64(listed)
+	return reporting > 0 && float64(reporting) >= incarnationShare*float64(listed)
 }
 
 // Status is one server's state for operators and for capacity decisions.
@@ -273,13 +276,14 @@
 	Load
 	Ready   bool
 	Suspect bool
-	// Barred is set for a server of a version that may not be used.
+	// Barred is set if the server's version may not be used.
 	Barred bool
 	// Limit is the server's latest request limit.
 	Limit advice.Limit
-	// AtLimit is set where callers ask for more than the limit.
+	// AtLimit is set if the demand exceeds the limit.
 	AtLimit bool
-	Age     time.Duration
+	// Age is the time since this daemon first listed the incarnation.
+	Age time.Duration
 }
 
 // Servers returns every listed server, ordered by ID.
--- a/internal/backend/view_test.go
+++ b/internal/backend/view_test.go
@@ -40,8 +40,8 @@
 	c.Check(pick(NewView(), start), qt.Equals, "")
 }
 
-// TestListOfServersInServiceIsKeptUpToDate: whatever ends or begins a server's service
-// after a request has asked for the list.
+// TestListOfServersInServiceIsKeptUpToDate checks that the cached list of ready servers follows
+// every event by which a server becomes ready or ceases to be.
 func TestListOfServersInServiceIsKeptUpToDate(t *testing.T) {
 	c := qt.New(t)
 	v := plainView("a", "b")
@@ -89,8 +89,7 @@
 	c.Check(pick(v, start), qt.Equals, "a")
 }
 
-// drainDeadline is until when a server may be sent requests of which it was news at the start that it
-// leaves.
+// drainDeadline is the end of the last-resort use of a server that began to drain at start.
 var drainDeadline = start.Add(defaultDrainBound - maxTransit)
 
 func draining(id string) Entry {
@@ -105,7 +104,7 @@
 	v.Put(draining("a"), start)
 	c.Check(pick(v, start), qt.Equals, "b")
 	v.Remove("b", start)
-	c.Check(pick(v, drainDeadline.Add(-time.Millisecond)), qt.Not(qt.Equals), "", qt.Commentf("both have just left"))
+	c.Check(pick(v, drainDeadline.Add(-time.Millisecond)), qt.Not(qt.Equals), "", qt.Commentf("both are usable as a last resort"))
 	c.Check(pick(v, drainDeadline), qt.Equals, "")
 }
 
@@ -117,7 +116,8 @@
 	c.Check(pick(v, drainDeadline), qt.Equals, "")
 }
 
-// TestLastResortCountsFromTheStoresWord: not from when this daemon has heard of it.
+// TestLastResortCountsFromTheStoresWord checks that the last-resort use is counted from the store's
+// acknowledgement, not from the time at which this daemon received the change.
 func TestLastResortCountsFromTheStoresWord(t *testing.T) {
 	late := Observation{ReceivedAt: start.Add(time.Second), NotBefore: start}
 	for name, leave := range map[string]func(v *View, seen Observation){
@@ -140,7 +140,8 @@
 	}
 }
 
-// TestServerThatHasDrainedForLong: a daemon that has just started does not know for how long.
+// TestServerThatHasDrainedForLong covers a daemon that has just started and cannot know since when
+// a listed server drains.
 func TestServerThatHasDrainedForLong(t *testing.T) {
 	c := qt.New(t)
 	v := NewView()
@@ -148,7 +149,8 @@
 	c.Check(pick(v, start), qt.Equals, "")
 }
 
-// TestAttemptIsLookedAtBeforeItIsSent: its server may have left while it waited for a connection.
+// TestAttemptIsLookedAtBeforeItIsSent checks that an attempt is not sent if its server left while
+// the attempt waited for a connection.
 func TestAttemptIsLookedAtBeforeItIsSent(t *testing.T) {
 	c := qt.New(t)
 	v := plainView("a", "b")
@@ -156,12 +158,12 @@
 	c.Assert(choice.ID, qt.Equals, "a")
 	c.Check(choice.MaySend(start), qt.IsTrue)
 	v.Put(draining("a"), start)
-	c.Check(choice.MaySend(start), qt.IsFalse, qt.Commentf("there is another one"))
+	c.Check(choice.MaySend(start), qt.IsFalse, qt.Commentf("another server is ready"))
 	v.Remove("b", start)
 	c.Check(choice.MaySend(drainDeadline.Add(-time.Millisecond)), qt.IsTrue)
 	c.Check(choice.MaySend(drainDeadline), qt.IsFalse)
 	v.Put(entry("a", "z-a"), drainDeadline)
-	c.Check(choice.MaySend(drainDeadline), qt.IsTrue, qt.Commentf("it is back"))
+	c.Check(choice.MaySend(drainDeadline), qt.IsTrue, qt.Commentf("it is ready again"))
 }
 
 func TestEntriesThatLapsedInAnOutage(t *testing.T) {
@@ -173,7 +175,8 @@
 	c.Check(pick(v, start.Add(outageGrace)), qt.Equals, "")
 }
 
-// TestEntryThatIsGoneSinceTheOutage: it was seen after the store's return, and has left.
+// TestEntryThatIsGoneSinceTheOutage covers an entry that was seen after the store recovered and was
+// removed later: it gets no grace period.
 func TestEntryThatIsGoneSinceTheOutage(t *testing.T) {
 	c := qt.New(t)
 	v := plainView("a")
@@ -194,8 +197,8 @@
 	c.Check(pick(v, start), qt.Equals, "a")
 }
 
-// TestDaemonsAgreeOnHomes: views that were filled in another order send the same
-// prompt to the same server, and a server that comes moves few prompts.
+// TestDaemonsAgreeOnHomes checks that views filled in a different order send a prompt to the same
+// server, and that an additional server takes over few prompts.
 func TestDaemonsAgreeOnHomes(t *testing.T) {
 	c := qt.New(t)
 	one, two := modelView("a", "b", "c", "d"), modelView("d", "c", "b", "a")
@@ -256,13 +259,13 @@
 	c.Check(cache.tokens <= cache.limit, qt.IsTrue)
 }
 
-// TestFiguresToldBeforeTheConfigurationAreKept: a daemon that starts reads what others
-// had learned before it knows what the services are.
+// TestFiguresToldBeforeTheConfigurationAreKept covers a starting daemon that receives engine
+// figures from peers before its configuration.
 func TestFiguresToldBeforeTheConfigurationAreKept(t *testing.T) {
 	c := qt.New(t)
-	told := pace.EngineFigures{First: pace.Figures{Coefficients: []float64{0.5, 1e-5, 1e-4, 0.01, 1e-6}, Seen: 500}}
+	received := pace.EngineFigures{First: pace.Figures{Coefficients: []float64{0.5, 1e-5, 1e-4, 0.01, 1e-6}, Seen: 500}}
 	v := NewView()
-	v.MergeEngineFigures(map[string]pace.EngineFigures{"s": told})
+	v.MergeEngineFigures(map[string]pace.EngineFigures{"s": received})
 	v.Put(entry("a", "z"), start)
 	v.SetTraits(map[string]Traits{"s": {CacheTokens: 100_000}})
 	choice, ok := v.Begin(prompt(1), start)
@@ -271,8 +274,8 @@
 	c.Check(choice.IdleWait > 450*time.Millisecond, qt.IsTrue, qt.Commentf("%v", choice.IdleWait))
 }
 
-// TestSlowServerIsLeft: a server whose first events take several times as long as those
-// of its service gets less, and is tried again after a while.
+// TestSlowServerIsLeft checks that a server whose first events take several times as long as
+// predicted for its service gets fewer requests.
 func TestSlowServerIsLeft(t *testing.T) {
 	c := qt.New(t)
 	v := modelView("a", "b", "c")
--- a/internal/backend/zonelatency.go
+++ b/internal/backend/zonelatency.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	// connectTimeWeight is the weight of a new connection in the time that connections to a
-	// zone take to open.
+	// connectTimeWeight is the weight of a new connection in the moving average of the connect
+	// time.
 	connectTimeWeight = 0.1
-	// maxConnectTimeFactor bounds that time by what is known, as a factor: a lost packet is sent again
-	// after hundreds of times as long, which says nothing of the distance.
+	// maxConnectTimeFactor bounds a sample by a multiple of the mean. A lost packet is
+	// retransmitted after hundreds of times the round-trip time, which says nothing about the
+	// latency.
 	maxConnectTimeFactor = 3
-	// minDials is the number of connections after which the time is relied on.
+	// minDials is the number of connections from which on the mean is used.
 	minDials = 3
-	// maxCrossZoneLatency bounds what is made of it.
+	// maxCrossZoneLatency bounds the result of crossZoneLatency.
 	maxCrossZoneLatency = 500 * time.Millisecond
 )
 
-// connectTime is how long connections to the servers of a zone take to open.
+// connectTime is the moving average of the time that connections to a zone's servers take to open.
 type connectTime struct {
 	mean  time.Duration
 	dials int
 }
 
-// RecordDial takes over how long a connection to a server took to open.
+// RecordDial records how long a connection to a server took to open.
 func (v *View) RecordDial(address string, took time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -45,12 +46,13 @@
 	return connectTime{mean: d.mean + time.Duration(connectTimeWeight*float64(took-d.mean)), dials: d.dials + 1}
 }
 
-// crossZoneLatency returns how much longer the network takes to a zone than within the own one: a
-// connection opens in one round trip. The caller holds the lock.
+// crossZoneLatency returns the additional network latency to a zone compared with the own zone. A
+// connection opens in one round trip, so the difference of the connect times is used. The caller
+// holds the lock.
 func (v *View) crossZoneLatency(zone, own string) time.Duration {
-	there, here := v.connectTimes[zone], v.connectTimes[own]
-	if there.dials < minDials || here.dials < minDials {
+	remote, local := v.connectTimes[zone], v.connectTimes[own]
+	if remote.dials < minDials || local.dials < minDials {
 		return route.DefaultCrossZoneLatency
 	}
-	return max(0, min(maxCrossZoneLatency, there.mean-here.mean))
+	return max(0, min(maxCrossZoneLatency, remote.mean-local.mean))
 }
--- a/internal/backend/zonelatency_test.go
+++ b/internal/backend/zonelatency_test.go
@@ -9,8 +9,8 @@
 	"github.com/plankridge/plankridge/internal/route"
 )
 
-// TestCrossZoneLatencyIsLearned: from how long connections take to open; one whose packet
-// was lost says little.
+// TestCrossZoneLatencyIsLearned checks that the latency follows the connect times, and that the
+// occasional connection with a lost packet has little effect.
 func TestCrossZoneLatencyIsLearned(t *testing.T) {
 	c := qt.New(t)
 	v := plainView("a", "b")
@@ -23,8 +23,8 @@
 		}
 		v.RecordDial("b:80", took)
 	}
-	away := v.crossZoneLatency("z-b", "z-a")
-	c.Check(away > 30*time.Millisecond && away < 60*time.Millisecond, qt.IsTrue, qt.Commentf("%v", away))
+	latency := v.crossZoneLatency("z-b", "z-a")
+	c.Check(latency > 30*time.Millisecond && latency < 60*time.Millisecond, qt.IsTrue, qt.Commentf("%v", latency))
 	c.Check(v.crossZoneLatency("z-a", "z-b"), qt.Equals, time.Duration(0))
 	v.RecordDial("unknown:80", time.Second)
 	c.Check(v.connectTimes, qt.HasLen, 2)
