--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -1,5 +1,6 @@
-// Package advice decodes and merges the load advice in backend servers' responses: a request limit,
-// an announcement that the server leaves, and Retry-After. It does no I/O; the time is passed in.
+// Package advice decodes and merges the load advice in the responses of backend servers: a request
+// limit, an announcement that the server leaves, and Retry-After. It does no I/O; the time is
+// passed in.
 package advice
 
 import (
@@ -11,32 +12,34 @@
 	"time"
 )
 
-// Advice is that of one response. The zero value is that of a server that accepts any work.
+// Advice is the advice in one response. The zero value asks for no restriction.
 type Advice struct {
-	// Limit is the number of requests a second that the server takes from all daemons together.
-	// It is nil where the answer names none.
+	// Limit is the number of requests per second that the server accepts from all daemons together.
+	// It is nil if the response contains none.
 	Limit *float64
-	// Leaving is set where the server announces that it leaves.
+	// Leaving is set if the server announces that it leaves.
 	Leaving bool
-	// RetryAfter is the Retry-After of a server that declined the request: for so long it wants no other
-	// from this daemon. Zero is none.
+	// RetryAfter is how long a server that declined the request wants no others from this daemon.
+	// It is zero if the response does not say so.
 	RetryAfter time.Duration
-	// LimitError and RetryAfterError are set where a limit or a rest cannot be read: then none is named.
+	// LimitError and RetryAfterError are set if the respective header is invalid. The value counts
+	// as absent then.
 	LimitError, RetryAfterError error
 }
 
-// HeaderNames are those of the headers that carry advice, and Retry-After beside them.
+// HeaderNames are the names of the headers that carry a limit and a leaving announcement. The name
+// of Retry-After is fixed.
 type HeaderNames struct{ Limit, Leaving string }
 
-// ownHeaders are those of the product's own interface to servers.
+// ownHeaders are the header names of plankridge's own server interface.
 var ownHeaders = HeaderNames{Limit: "Plankridge-Limit", Leaving: "Plankridge-Leaving"}
 
-// FromHeader decodes a response at the product's own interface. declined is set where the server did
-// not run the request.
+// FromHeader decodes the advice in a response of plankridge's own server interface. declined is set
+// if the server did not run the request.
 func FromHeader(header http.Header, declined bool) Advice { return Parse(header, ownHeaders, declined) }
 
-// Parse decodes a response by the names of its headers. Retry-After counts only where the server
-// declined the request; otherwise it is part of the service's answer.
+// Parse decodes the advice in a response with the given header names. Retry-After counts only if
+// the server declined the request; otherwise it belongs to the service's answer.
 func Parse(header http.Header, names HeaderNames, declined bool) Advice {
 	a := Advice{Leaving: strings.TrimSpace(header.Get(names.Leaving)) == leavingValue}
 	if texts := header.Values(names.Limit); len(texts) > 0 {
@@ -51,46 +54,48 @@
 	return a
 }
 
-// leavingValue is the header's value for a server that leaves.
+// leavingValue is the header value by which a server announces that it leaves.
 const leavingValue = "1"
 
-// maxRetryAfter bounds a rest: longer ones are taken for a mistake of the server.
+// maxRetryAfter bounds Retry-After. Longer times are taken for a mistake of the server.
 const maxRetryAfter = time.Hour
 
-// ParseRetryAfter reads a rest in seconds, which may have a fraction.
+// ParseRetryAfter parses a number of seconds, which may have a fraction. Times above one hour are
+// reduced to one hour.
 func ParseRetryAfter(text string) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || !ValidNumber(seconds) {
-		return 0, fmt.Errorf("rest %q is no number of seconds", text)
+		return 0, fmt.Errorf("Retry-After %q is not a valid number of seconds", text)
 	}
 	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second)), nil
 }
 
-// ParseLimit reads a limit in requests a second.
+// ParseLimit parses a limit in requests per second.
 func ParseLimit(text string) (float64, error) {
 	rate, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || !ValidNumber(rate) {
-		return 0, fmt.Errorf("limit %q is no number of requests a second", text)
+		return 0, fmt.Errorf("limit %q is not a valid number of requests per second", text)
 	}
 	return rate, nil
 }
 
-// ValidNumber reports whether a server can name a number, of requests a second or of seconds.
+// ValidNumber reports whether a number of requests per second or of seconds is valid: finite and
+// not negative.
 func ValidNumber(number float64) bool { return number >= 0 && !math.IsInf(number, 0) }
 
-// Limit is the latest that is known of a server's limit.
+// Limit is the latest known request limit of a server.
 type Limit struct {
-	// Rate is in requests a second. It counts only where Named is set.
+	// Rate is in requests per second. It is meaningful only if Limited is set.
 	Rate    float64
 	Limited bool
-	// ObservedAt is when an answer that named the limit came or, for one without, when its request was
-	// sent. A later one replaces an earlier one.
+	// ObservedAt is when the response with the limit was received. For a response without a limit
+	// it is when the request was sent. A later observation replaces an earlier one.
 	ObservedAt time.Time
 }
 
-// Observe merges an answer to a request that was sent and answered at these times. An answer
-// without a limit ends one only if its request was sent later than the limit was learned: answers
-// may overtake each other.
+// Observe merges the advice of a response to a request that was sent and answered at the given
+// times. Responses may overtake each other, so a response without a limit ends a limit only if its
+// request was sent after the limit was received.
 func (l Limit) Observe(a Advice, sent, answered time.Time) Limit {
 	switch {
 	case a.LimitError != nil:
@@ -101,7 +106,7 @@
 	return l.Merge(Limit{ObservedAt: sent})
 }
 
-// Merge returns the later of two.
+// Merge returns the later one of two observations.
 func (l Limit) Merge(other Limit) Limit {
 	if other.ObservedAt.After(l.ObservedAt) {
 		return other
@@ -109,19 +114,19 @@
 	return l
 }
 
-// Equivalent reports whether two limits allow the same.
+// Equivalent reports whether two limits allow the same rate.
 func (l Limit) Equivalent(other Limit) bool {
 	return l.Limited == other.Limited && (!l.Limited || l.Rate == other.Rate)
 }
 
-// LimitRecord is what daemons report to each other of a server's limit.
+// LimitRecord is a server's limit as daemons report it to each other.
 type LimitRecord struct {
 	// Server is the key of one incarnation of a server.
 	Server uint32
 	Limit
 }
 
-// LeavingNotice is what daemons report to each other of a server that has announced that it leaves.
+// LeavingNotice is a server's announcement that it leaves, as daemons report it to each other.
 type LeavingNotice struct {
 	// Server is the key of one incarnation of a server.
 	Server uint32
--- a/internal/advice/advice_test.go
+++ b/internal/advice/advice_test.go
@@ -22,7 +22,7 @@
 	}
 	for _, text := range []string{"", "many", "-1", "NaN", "Inf", "-Inf", "1,5", "1 2"} {
 		_, err := ParseLimit(text)
-		qt.Check(t, err, qt.ErrorMatches, `limit ".*" is no number of requests a second`)
+		qt.Check(t, err, qt.ErrorMatches, `limit ".*" is not a valid number of requests per second`)
 	}
 }
 
@@ -49,21 +49,21 @@
 func TestInvalidLimitChangesNothing(t *testing.T) {
 	c := qt.New(t)
 	_, err := ParseLimit("many")
-	unreadable := Advice{LimitError: err}
-	c.Check(Limit{}.Observe(unreadable, at(0), at(10)), qt.Equals, Limit{})
+	invalid := Advice{LimitError: err}
+	c.Check(Limit{}.Observe(invalid, at(0), at(10)), qt.Equals, Limit{})
 	l := Limit{}.Observe(adviceWithLimit(2), at(100), at(180))
-	c.Check(l.Observe(unreadable, at(200), at(280)), qt.Equals, l)
+	c.Check(l.Observe(invalid, at(200), at(280)), qt.Equals, l)
 }
 
 func TestParseRetryAfter(t *testing.T) {
 	for text, want := range map[string]time.Duration{"3": 3 * time.Second, "0.25": 250 * time.Millisecond, "0": 0, "1e9": maxRetryAfter} {
-		rest, err := ParseRetryAfter(text)
+		retryAfter, err := ParseRetryAfter(text)
 		qt.Check(t, err, qt.IsNil)
-		qt.Check(t, rest, qt.Equals, want)
+		qt.Check(t, retryAfter, qt.Equals, want)
 	}
 	for _, text := range []string{"", "soon", "-1", "NaN", "Inf"} {
 		_, err := ParseRetryAfter(text)
-		qt.Check(t, err, qt.ErrorMatches, `rest ".*" is no number of seconds`)
+		qt.Check(t, err, qt.ErrorMatches, `Retry-After ".*" is not a valid number of seconds`)
 	}
 }
 
@@ -74,7 +74,7 @@
 	header.Set("Plankridge-Leaving", "1")
 	header.Set("Retry-After", "3")
 	c.Check(FromHeader(header, true), qt.Equals, Advice{Leaving: true, RetryAfter: 3 * time.Second})
-	c.Check(FromHeader(header, false).RetryAfter, qt.Equals, time.Duration(0), qt.Commentf("the answer of a service that ran"))
+	c.Check(FromHeader(header, false).RetryAfter, qt.Equals, time.Duration(0), qt.Commentf("the service ran the request"))
 	header.Set("Plankridge-Limit", "many")
 	c.Check(FromHeader(header, false).LimitError, qt.IsNotNil)
 	header.Set("Plankridge-Limit", "2.5")
--- a/internal/advice/fuzz_test.go
+++ b/internal/advice/fuzz_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// FuzzFromHeader: whatever a server writes, a limit or a rest that is taken over can be kept.
+// FuzzFromHeader checks that any header yields either a valid value or an error.
 func FuzzFromHeader(f *testing.F) {
 	f.Add("1.2", "1", "3")
 	f.Add("many", "yes", "Fri, 31 Dec 1999 23:59:59 GMT")
@@ -21,13 +21,13 @@
 			t.Fatalf("limit %v and error %v", a.Limit, a.LimitError)
 		}
 		if a.RetryAfter < 0 || a.RetryAfter > maxRetryAfter {
-			t.Fatalf("rest %v", a.RetryAfter)
+			t.Fatalf("Retry-After %v", a.RetryAfter)
 		}
 		if a.RetryAfterError != nil && a.RetryAfter != 0 {
-			t.Fatalf("rest %v beside error %v", a.RetryAfter, a.RetryAfterError)
+			t.Fatalf("Retry-After %v and error %v", a.RetryAfter, a.RetryAfterError)
 		}
 		if FromHeader(header, false).RetryAfter != 0 {
-			t.Fatal("a rest of a server that did not decline")
+			t.Fatal("Retry-After of a server that did not decline")
 		}
 	})
 }
