--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -14,29 +14,29 @@
 func TestPickPrefersOwnZoneThenWaitThenPrice(t *testing.T) {
 	c := qt.New(t)
 	need := Need{Zone: "a", Target: time.Second}
-	const own = 100 * time.Millisecond
-	home := Server{ID: "1", Zone: "a", IdleWait: own, MaxBatch: 8}
-	away := Server{ID: "2", Zone: "b", IdleWait: own, MaxBatch: 8}
+	const idleWait = 100 * time.Millisecond
+	ownZone := Server{ID: "1", Zone: "a", IdleWait: idleWait, MaxBatch: 8}
+	otherZone := Server{ID: "2", Zone: "b", IdleWait: idleWait, MaxBatch: 8}
 	pick := func(servers ...Server) string {
 		choice, ok := Pick(servers, need)
 		c.Assert(ok, qt.IsTrue)
 		return choice.Server.ID
 	}
-	c.Check(pick(away, home), qt.Equals, "1")
-	home.Queue = 300 * time.Millisecond // 0.4 s: still within half of the target
-	c.Check(pick(away, home), qt.Equals, "1")
-	home.Queue = 900 * time.Millisecond
-	c.Check(pick(away, home), qt.Equals, "2")
-	away.Suspect = true
-	c.Check(pick(away, home), qt.Equals, "1")
-	home.Leaving = true
-	c.Check(pick(away, home), qt.Equals, "2")
-	away.Leaving = true
-	_, ok := Pick([]Server{home, away}, need)
+	c.Check(pick(otherZone, ownZone), qt.Equals, "1")
+	ownZone.Queue = 300 * time.Millisecond // 0.4 s in total, within half of the target
+	c.Check(pick(otherZone, ownZone), qt.Equals, "1")
+	ownZone.Queue = 900 * time.Millisecond
+	c.Check(pick(otherZone, ownZone), qt.Equals, "2")
+	otherZone.Suspect = true
+	c.Check(pick(otherZone, ownZone), qt.Equals, "1")
+	ownZone.Leaving = true
+	c.Check(pick(otherZone, ownZone), qt.Equals, "2")
+	otherZone.Leaving = true
+	_, ok := Pick([]Server{ownZone, otherZone}, need)
 	c.Check(ok, qt.IsFalse)
-	cheap := Server{ID: "9", Zone: "a", IdleWait: own, MaxBatch: 8, PricePerHour: 1}
-	dear := Server{ID: "3", Zone: "a", IdleWait: own, MaxBatch: 8, PricePerHour: 3}
-	c.Check(pick(dear, cheap), qt.Equals, "9")
+	cheap := Server{ID: "9", Zone: "a", IdleWait: idleWait, MaxBatch: 8, PricePerHour: 1}
+	expensive := Server{ID: "3", Zone: "a", IdleWait: idleWait, MaxBatch: 8, PricePerHour: 3}
+	c.Check(pick(expensive, cheap), qt.Equals, "9")
 }
 
 func TestPickNeverTakesLeavingServer(t *testing.T) {
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestLateBySizeIsNoOverload: a prompt that takes longer than its target on any engine
-// is served where nothing waits, and refused behind a queue; one of a usual size is
-// refused for a queue alone.
+// TestLateBySizeIsNoOverload checks that a prompt that takes longer than its target on any engine
+// is served if there is no queue and refused behind one, and that a prompt of usual size is refused
+// only because of a queue.
 func TestLateBySizeIsNoOverload(t *testing.T) {
 	c := qt.New(t)
 	const target, long, usual = 500 * time.Millisecond, 700 * time.Millisecond, 50 * time.Millisecond
@@ -95,19 +95,19 @@
 	c.Check(TooLate(usual+300*time.Millisecond, usual, target), qt.IsTrue)
 }
 
-// TestOverdueRequestsWaitAndOthersAreRefused: behind a queue a caller whose answer is late
-// already is served while it waits for the rest, and one that came for the first time is
-// told at once that it would be late.
+// TestOverdueRequestsWaitAndOthersAreRefused checks that behind a queue an overdue request is
+// served while its caller has time left for the whole answer, and that a first try that would be
+// late is refused at once.
 func TestOverdueRequestsWaitAndOthersAreRefused(t *testing.T) {
 	c := qt.New(t)
 	fresh := Timing{Wait: 400 * time.Millisecond, IdleWait: 50 * time.Millisecond, Target: 500 * time.Millisecond, Remaining: 10 * time.Second}
 	c.Check(fresh.ShouldRefuse(), qt.IsTrue)
-	again := fresh
-	again.Age = time.Second
-	c.Check(again.ShouldRefuse(), qt.IsFalse)
-	again.Remaining = 700 * time.Millisecond
-	c.Check(again.ShouldRefuse(), qt.IsTrue)
-	young := fresh
-	young.Wait, young.Age = 100*time.Millisecond, 300*time.Millisecond
-	c.Check(young.ShouldRefuse(), qt.IsFalse, qt.Commentf("its own time since the first try is no queue"))
+	retried := fresh
+	retried.Age = time.Second
+	c.Check(retried.ShouldRefuse(), qt.IsFalse)
+	retried.Remaining = 700 * time.Millisecond
+	c.Check(retried.ShouldRefuse(), qt.IsTrue)
+	recent := fresh
+	recent.Wait, recent.Age = 100*time.Millisecond, 300*time.Millisecond
+	c.Check(recent.ShouldRefuse(), qt.IsFalse, qt.Commentf("the time since the first try does not count as queueing"))
 }
