--- a/internal/backend/cache.go
+++ b/internal/backend/cache.go
@@ -18,9 +18,9 @@
 // promptCache predicts which prompt parts a model engine has cached, from what this daemon has sent
 // to it. It evicts the least recently used part first.
 type promptCache struct {
-	parts  *simplelru.LRU[string, int]
-	tokens int
-	limit  int
+	parts      *simplelru.LRU[string, int]
+	usedTokens int
+	maxTokens  int
 }
 
 const (
@@ -33,9 +33,9 @@
 )
 
 func newPromptCache(capacityTokens int) *promptCache {
-	c := &promptCache{limit: int(cacheShare * float64(capacityTokens))}
+	c := &promptCache{maxTokens: int(cacheShare * float64(capacityTokens))}
 	// NewLRU fails only if the size is not positive.
-	c.parts, _ = simplelru.NewLRU(maxCachedParts, func(_ string, tokens int) { c.tokens -= tokens })
+	c.parts, _ = simplelru.NewLRU(maxCachedParts, func(_ string, tokens int) { c.usedTokens -= tokens })
 	return c
 }
 
@@ -46,9 +46,9 @@
 			continue
 		}
 		c.parts.Add(p.ID, p.Tokens)
-		c.tokens += p.Tokens
+		c.usedTokens += p.Tokens
 	}
-	for c.tokens > c.limit && c.parts.Len() > 0 {
+	for c.usedTokens > c.maxTokens && c.parts.Len() > 0 {
 		c.parts.RemoveOldest()
 	}
 }
--- a/internal/backend/choice.go
+++ b/internal/backend/choice.go
@@ -145,7 +145,7 @@
 	c.server.ownLoad.Running--
 	c.server.recordOutcome(outcome, now)
 	if outcome == OutcomeWrongServer {
-		clear(c.view.inService)
+		clear(c.view.readyServers)
 	}
 	if outcome == OutcomeServed {
 		c.learnStream()
--- a/internal/backend/leaving.go
+++ b/internal/backend/leaving.go
@@ -47,7 +47,7 @@
 
 // removeEntry marks a server whose entry was removed from the list. The caller holds the lock.
 func (v *View) removeEntry(s *server, seen Observation) {
-	clear(v.inService)
+	clear(v.readyServers)
 	s.listed = false
 	until := v.usableUntil(seen)
 	// An entry that was not seen since the outage may have expired during it.
@@ -73,17 +73,17 @@
 // well.
 const leavingNoticeTTL = time.Minute
 
-// announceLeaving records that a response received at the given time announced that the server
+// recordLeavingAnnouncement records that a response received at the given time announced that the server
 // leaves. The announcement overrides later entries, because the server may be unable to reach the
 // store, and the lists of peers are older. The caller holds the lock.
-func (v *View) announceLeaving(s *server, at, now time.Time) (changed bool) {
+func (v *View) recordLeavingAnnouncement(s *server, at, now time.Time) (changed bool) {
 	if !s.leavingAnnouncedAt.IsZero() && !at.Before(s.leavingAnnouncedAt) {
 		return false
 	}
 	changed = s.leavingAnnouncedAt.IsZero()
 	s.leavingAnnouncedAt = at
 	s.leave(now, at.Add(v.drainBound-maxTransit))
-	clear(v.inService)
+	clear(v.readyServers)
 	return changed
 }
 
@@ -115,7 +115,7 @@
 		if s == nil || now.Sub(n.ReceivedAt) >= leavingNoticeTTL {
 			continue
 		}
-		if v.announceLeaving(s, n.ReceivedAt, now) {
+		if v.recordLeavingAnnouncement(s, n.ReceivedAt, now) {
 			s.peerReported = true
 			changed = append(changed, s.Entry)
 		}
@@ -134,7 +134,7 @@
 		if s.listed && !s.Draining {
 			s.leftAt, s.usableUntil = time.Time{}, time.Time{}
 		}
-		clear(v.inService)
+		clear(v.readyServers)
 	}
 }
 
--- a/internal/backend/limits.go
+++ b/internal/backend/limits.go
@@ -69,7 +69,7 @@
 		s.backoffUntil = later(s.backoffUntil, answered.Add(a.RetryAfter))
 	}
 	if a.Leaving {
-		change.LeavingAnnounced = c.view.announceLeaving(s, answered, answered)
+		change.LeavingAnnounced = c.view.recordLeavingAnnouncement(s, answered, answered)
 		s.peerReported = false
 	}
 	return change
--- a/internal/backend/pick.go
+++ b/internal/backend/pick.go
@@ -122,7 +122,7 @@
 // or leaves: collecting and sorting 2,600 servers for each request took 3.2 ms of CPU time. The
 // caller holds the lock.
 func (v *View) eligibleServers(t track, now time.Time) []*server {
-	if ready, cached := v.inService[t]; cached {
+	if ready, cached := v.readyServers[t]; cached {
 		return ready
 	}
 	ready := v.matchingServers(t, func(s *server) bool { return s.ready() })
@@ -132,7 +132,7 @@
 	if t.candidate && !v.versionsOf(t.service).AllCandidates {
 		ready = candidateSubset(ready)
 	}
-	v.inService[t] = ready
+	v.readyServers[t] = ready
 	return ready
 }
 
--- a/internal/backend/versions.go
+++ b/internal/backend/versions.go
@@ -40,7 +40,7 @@
 		return
 	}
 	v.versions[service] = versions
-	clear(v.inService)
+	clear(v.readyServers)
 }
 
 // EnforceVersions restricts the versions of every service: until SetVersions is called for a
--- a/internal/backend/view.go
+++ b/internal/backend/view.go
@@ -41,8 +41,8 @@
 	// drainBound is how long a draining server may be sent requests after the store has
 	// acknowledged that it drains.
 	drainBound time.Duration
-	// inService caches the ready servers of each track until a server is added or leaves.
-	inService map[track][]*server
+	// readyServers caches the ready servers of each track until a server is added or leaves.
+	readyServers map[track][]*server
 	// versions are the allowed versions, by service.
 	versions map[string]Versions
 	// enforceVersions is set if no version of a service may be used until SetVersions is called for
@@ -50,9 +50,9 @@
 	enforceVersions bool
 	// prunedAt is when prune last ran.
 	prunedAt time.Time
-	// listed is set once a complete list was received.
-	listed  bool
-	changed chan struct{}
+	// listReceived is set once a complete list was received.
+	listReceived bool
+	changed      chan struct{}
 	// keyIndex holds the servers by key, or is nil if it has to be rebuilt.
 	keyIndex map[uint32]*server
 	// limiter enforces the servers' limits. If it is nil they are not enforced.
@@ -61,7 +61,7 @@
 
 // NewView returns an empty view.
 func NewView() *View {
-	return &View{servers: map[string]*server{}, traits: map[string]Traits{}, connectTimes: map[string]connectTime{}, engines: map[string]*pace.Engine{}, unappliedFigures: map[string]pace.EngineFigures{}, inService: map[track][]*server{}, versions: map[string]Versions{}, changed: make(chan struct{}), drainBound: defaultDrainBound}
+	return &View{servers: map[string]*server{}, traits: map[string]Traits{}, connectTimes: map[string]connectTime{}, engines: map[string]*pace.Engine{}, unappliedFigures: map[string]pace.EngineFigures{}, readyServers: map[track][]*server{}, versions: map[string]Versions{}, changed: make(chan struct{}), drainBound: defaultDrainBound}
 }
 
 // SetTraits sets the configured properties of all services.
@@ -96,7 +96,7 @@
 func (v *View) Replace(entries []Entry, seen Observation) (ended []Entry) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.listed = true
+	v.listReceived = true
 	present := map[string]bool{}
 	for _, e := range entries {
 		present[e.ID] = true
@@ -112,12 +112,12 @@
 	return ended
 }
 
-// Listed reports whether a complete list was received. Before that, an empty view does not mean
+// ListReceived reports whether a complete list was received. Before that, an empty view does not mean
 // that there are no servers.
-func (v *View) Listed() bool {
+func (v *View) ListReceived() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.listed
+	return v.listReceived
 }
 
 // Put applies a new or changed entry. If the server has restarted, it returns the previous entry.
@@ -159,7 +159,7 @@
 		v.forgetLimit(s)
 		s.abandonAttempts()
 		s, again = nil, now
-		clear(v.inService)
+		clear(v.readyServers)
 	}
 	if s == nil {
 		s = &server{key: KeyOf(e), idHash: xxhash.Sum64String(e.ID), joinedAt: now, restartedAt: again, attempts: map[*Choice]struct{}{}}
@@ -169,11 +169,11 @@
 	if e.StartTimeMs != s.StartTimeMs {
 		// The entry identifies its incarnation for the first time.
 		s.key, v.keyIndex = KeyOf(e), nil
-		clear(v.inService)
+		clear(v.readyServers)
 	}
 	s.Entry, s.listed = e, true
 	if s.ready() != before || e.Service != service || e.Version != version {
-		clear(v.inService)
+		clear(v.readyServers)
 	}
 	if e.Draining {
 		s.leave(now, v.usableUntil(seen))
--- a/internal/backend/view_test.go
+++ b/internal/backend/view_test.go
@@ -256,7 +256,7 @@
 	cache.add([]PromptPart{{"d", 300}})
 	c.Check(cache.cachedPrefix([]PromptPart{{"a", 300}}), qt.Equals, 0)
 	c.Check(cache.cachedPrefix([]PromptPart{{"d", 300}}), qt.Equals, 300)
-	c.Check(cache.tokens <= cache.limit, qt.IsTrue)
+	c.Check(cache.usedTokens <= cache.maxTokens, qt.IsTrue)
 }
 
 // TestFiguresToldBeforeTheConfigurationAreKept covers a starting daemon that receives engine
--- a/internal/backend/zonelatency.go
+++ b/internal/backend/zonelatency.go
@@ -14,16 +14,16 @@
 	// retransmitted after hundreds of times the round-trip time, which says nothing about the
 	// latency.
 	maxConnectTimeFactor = 3
-	// minDials is the number of connections from which on the mean is used.
-	minDials = 3
+	// minConnectTimeSamples is the number of connections from which on the mean is used.
+	minConnectTimeSamples = 3
 	// maxCrossZoneLatency bounds the result of crossZoneLatency.
 	maxCrossZoneLatency = 500 * time.Millisecond
 )
 
 // connectTime is the moving average of the time that connections to a zone's servers take to open.
 type connectTime struct {
-	mean  time.Duration
-	dials int
+	mean        time.Duration
+	sampleCount int
 }
 
 // RecordDial records how long a connection to a server took to open.
@@ -39,11 +39,11 @@
 }
 
 func (d connectTime) withSample(took time.Duration) connectTime {
-	if d.dials == 0 {
-		return connectTime{mean: took, dials: 1}
+	if d.sampleCount == 0 {
+		return connectTime{mean: took, sampleCount: 1}
 	}
 	took = min(took, maxConnectTimeFactor*d.mean)
-	return connectTime{mean: d.mean + time.Duration(connectTimeWeight*float64(took-d.mean)), dials: d.dials + 1}
+	return connectTime{mean: d.mean + time.Duration(connectTimeWeight*float64(took-d.mean)), sampleCount: d.sampleCount + 1}
 }
 
 // crossZoneLatency returns the additional network latency to a zone compared with the own zone. A
@@ -51,7 +51,7 @@
 // holds the lock.
 func (v *View) crossZoneLatency(zone, own string) time.Duration {
 	remote, local := v.connectTimes[zone], v.connectTimes[own]
-	if remote.dials < minDials || local.dials < minDials {
+	if remote.sampleCount < minConnectTimeSamples || local.sampleCount < minConnectTimeSamples {
 		return route.DefaultCrossZoneLatency
 	}
 	return max(0, min(maxCrossZoneLatency, remote.mean-local.mean))
--- a/internal/duty/scaler.go
+++ b/internal/duty/scaler.go
@@ -51,7 +51,7 @@
 func (s *Scaler) step(ctx context.Context, now time.Time) {
 	right, holds := s.Holder.Right()
 	c := s.Catalog()
-	if !holds || c == nil || !s.View.Listed() {
+	if !holds || c == nil || !s.View.ListReceived() {
 		return
 	}
 	if right.Fence != s.fence {
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -87,7 +87,7 @@
 // awaitCatalog returns the configuration in force. A daemon that has just started waits
 // a moment for it and for the list of servers.
 func (s *state) awaitCatalog(ctx context.Context) *catalog.Catalog {
-	if c := s.Catalog(); c != nil && s.view.Listed() {
+	if c := s.Catalog(); c != nil && s.view.ListReceived() {
 		return c
 	}
 	ctx, cancel := context.WithTimeout(ctx, startWait)
@@ -99,7 +99,7 @@
 	}
 	for {
 		changed := s.view.Changed()
-		if s.view.Listed() {
+		if s.view.ListReceived() {
 			return s.Catalog()
 		}
 		select {
--- a/internal/router/pull_test.go
+++ b/internal/router/pull_test.go
@@ -102,7 +102,7 @@
 	c := qt.New(t)
 	r := testRouter(t)
 	r.state.HandlePullReply(&gossippb.PullReply{ServersRevision: 9, PackedServers: []byte("not packed")})
-	c.Check(r.state.view.Listed(), qt.IsFalse)
+	c.Check(r.state.view.ListReceived(), qt.IsFalse)
 }
 
 func TestBrokenConfigurationOfAPeerIsLeftAlone(t *testing.T) {
