--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -57,7 +57,7 @@
 // leavingValue is the header value by which a server announces that it leaves.
 const leavingValue = "1"
 
-// maxRetryAfter bounds Retry-After. Longer times are taken for a mistake of the server.
+// maxRetryAfter bounds Retry-After. Longer times are assumed to be a mistake of the server.
 const maxRetryAfter = time.Hour
 
 // ParseRetryAfter parses a number of seconds, which may have a fraction. Times above one hour are
--- a/internal/backend/cache.go
+++ b/internal/backend/cache.go
@@ -88,7 +88,7 @@
 }
 
 // homeServer returns the server on which the prompts of a key are preferably cached. It uses
-// rendezvous hashing over the servers in service: all daemons agree without communication, and a
+// rendezvous hashing over the given servers: all daemons agree without communication, and a
 // server that joins or leaves moves only its own keys.
 func homeServer(key string, servers []*server) *server {
 	if key == "" || len(servers) == 0 {
--- a/internal/backend/choice.go
+++ b/internal/backend/choice.go
@@ -74,14 +74,14 @@
 
 // Timing returns the time to the first event and the mean time between events. A value is zero if
 // there were too few events. It must not be called before the attempt has ended.
-func (c *Choice) Timing() (first, each time.Duration) {
+func (c *Choice) Timing() (first, interval time.Duration) {
 	if c.events == 0 {
 		return 0, 0
 	}
 	if c.events > 1 {
-		each = c.lastEventAt.Sub(c.firstEventAt) / time.Duration(c.events-1)
+		interval = c.lastEventAt.Sub(c.firstEventAt) / time.Duration(c.events-1)
 	}
-	return c.firstEventAt.Sub(c.startedAt), each
+	return c.firstEventAt.Sub(c.startedAt), interval
 }
 
 // learnFirstEvent updates the engine model with the time to the first event, unless queueing made
--- a/internal/backend/limits.go
+++ b/internal/backend/limits.go
@@ -103,7 +103,7 @@
 	v.limiter.Lift(s.key)
 }
 
-// forgetLimit makes the limiter drop a server that no longer exists. The caller holds the lock.
+// forgetLimit drops the limiter's state of a server. The caller holds the lock.
 func (v *View) forgetLimit(s *server) {
 	if v.limiter != nil && (s.limit.Limited || !s.liftedAt.IsZero()) {
 		v.limiter.Forget(s.key)
--- a/internal/backend/limits_test.go
+++ b/internal/backend/limits_test.go
@@ -245,8 +245,8 @@
 	c.Check(picked(true, backoffEnd), qt.Equals, "a")
 }
 
-// BenchmarkMergeLimits merges a report of 64 limits. A lead receives hundreds of such reports per
-// second.
+// BenchmarkMergeLimits merges a report of 64 limits. A lead daemon receives hundreds of such
+// reports per second.
 func BenchmarkMergeLimits(b *testing.B) {
 	for _, servers := range []int{160, 2600} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
--- a/internal/backend/notice.go
+++ b/internal/backend/notice.go
@@ -5,8 +5,8 @@
 const (
 	// longPrefillShare is the prefill time, as a share of the request's target, above which other
 	// daemons are notified of the prompt at once. A request with the same target that queues behind
-	// it loses much of its time. Scores of other shares (higher is better): 0.515 at 0.05, 0.533 at
-	// 0.15, 0.538 at 0.3, 0.532 without notices.
+	// it loses much of its time. The score over 4 seeds was 0.515 at a share of 0.05, 0.533 at
+	// 0.15, 0.538 at 0.3 and 0.532 without notices.
 	longPrefillShare = 0.3
 	// noticeTTL is how long a notice counts. By then the load sums that include it have been
 	// received.
--- a/internal/backend/pace.go
+++ b/internal/backend/pace.go
@@ -51,13 +51,13 @@
 // attemptLoad returns the predicted load of an attempt on the engines. The stream's speed is
 // predicted for a half-full batch.
 func attemptLoad(work pace.Work, answer pace.Answer, traits Traits, slots int, engines *pace.Engine) demand.Load {
-	held := (engines.FirstEvent(work) + engines.Stream(answer, slots/2)).Seconds()
+	duration := (engines.FirstEvent(work) + engines.Stream(answer, slots/2)).Seconds()
 	load := demand.Load{
 		Reading: engines.Read(work).Seconds(),
-		Memory:  held * (float64(work.Prompt) + engines.Tokens(answer)) / float64(traits.CacheTokens),
+		Memory:  duration * (float64(work.Prompt) + engines.Tokens(answer)) / float64(traits.CacheTokens),
 	}
 	if slots > 0 {
-		load.Places = held / float64(slots)
+		load.Places = duration / float64(slots)
 	}
 	return load
 }
--- a/internal/backend/pick.go
+++ b/internal/backend/pick.go
@@ -28,8 +28,8 @@
 	Final bool
 	// Deferred is set for attempts that the engine runs after all others.
 	Deferred bool
-	// SampleSeed differs between requests. It selects the servers that are considered beside the
-	// homes of the prompt if there are many servers.
+	// SampleSeed differs between requests. It selects the servers that are considered in addition
+	// to the homes of the prompt if there are many servers.
 	SampleSeed uint64
 	// Candidate requests a server of the candidate version of a roll-out.
 	Candidate bool
@@ -55,13 +55,13 @@
 // and then leaving servers as a last resort if all others back off or are at their limits. The
 // caller holds the lock.
 func (v *View) begin(need Need, now time.Time) (*Choice, bool) {
-	inService, candidate := v.trackServers(need, now)
-	shortlisted := shortlist(inService, need)
+	eligible, candidate := v.trackServers(need, now)
+	shortlisted := shortlist(eligible, need)
 	if choice, ok := v.beginAmong(shortlisted, candidate, need, now); ok {
 		return choice, true
 	}
-	if len(shortlisted) < len(inService) {
-		if choice, ok := v.beginAmong(inService, candidate, need, now); ok {
+	if len(shortlisted) < len(eligible) {
+		if choice, ok := v.beginAmong(eligible, candidate, need, now); ok {
 			return choice, true
 		}
 	}
@@ -146,10 +146,10 @@
 // caller holds the lock.
 func (v *View) matchingServers(t track, matches func(s *server) bool) []*server {
 	var servers []*server
-	required := v.reportsIncarnations(t.service)
+	incarnationRequired := v.reportsIncarnations(t.service)
 	versions := v.versionsOf(t.service)
 	for _, s := range v.servers {
-		if s.Service != t.service || required && s.StartTimeMs == 0 || !versions.allows(s.Version, t.candidate) || !matches(s) {
+		if s.Service != t.service || incarnationRequired && s.StartTimeMs == 0 || !versions.allows(s.Version, t.candidate) || !matches(s) {
 			continue
 		}
 		servers = append(servers, s)
--- a/internal/backend/versions.go
+++ b/internal/backend/versions.go
@@ -13,8 +13,8 @@
 	Enforced bool
 	// Stable is the version that requests use, or empty while it is unknown.
 	Stable string
-	// Candidate is the version under roll-out, or empty. Only attempts that request the candidate
-	// use it.
+	// Candidate is the version under roll-out, or empty. Attempts use it only if they request it,
+	// or if the stable version has no server and AllCandidates is set.
 	Candidate string
 	// AllCandidates is set once all servers of the candidate version are used.
 	AllCandidates bool
@@ -53,7 +53,7 @@
 
 // versionsOf returns which versions of a service may be used. The caller holds the lock.
 func (v *View) versionsOf(service string) Versions {
-	if versions, named := v.versions[service]; named {
+	if versions, found := v.versions[service]; found {
 		return versions
 	}
 	return Versions{Enforced: v.enforceVersions}
--- a/internal/backend/view.go
+++ b/internal/backend/view.go
@@ -93,14 +93,14 @@
 
 // Replace applies a complete list. Servers that are not in it have left. It returns the previous
 // entries of the servers that have restarted.
-func (v *View) Replace(entries []Entry, seen Observation) (ended []Entry) {
+func (v *View) Replace(entries []Entry, seen Observation) (restarted []Entry) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.listReceived = true
 	present := map[string]bool{}
 	for _, e := range entries {
 		present[e.ID] = true
-		ended = append(ended, v.putEntry(e, seen)...)
+		restarted = append(restarted, v.putEntry(e, seen)...)
 	}
 	for id, s := range v.servers {
 		if !present[id] {
@@ -109,7 +109,7 @@
 	}
 	v.prune(seen.ReceivedAt)
 	v.notifyChanged()
-	return ended
+	return restarted
 }
 
 // ListReceived reports whether a complete list was received. Before that, an empty view does not mean
@@ -121,7 +121,7 @@
 }
 
 // Put applies a new or changed entry. If the server has restarted, it returns the previous entry.
-func (v *View) Put(e Entry, now time.Time) (ended []Entry) {
+func (v *View) Put(e Entry, now time.Time) (restarted []Entry) {
 	return v.Update([]Entry{e}, nil, Observed(now))
 }
 
@@ -130,39 +130,39 @@
 
 // Update applies new and changed entries, and the removal of entries by their IDs. It returns the
 // previous entries of the servers that have restarted.
-func (v *View) Update(entries []Entry, gone []string, seen Observation) (ended []Entry) {
+func (v *View) Update(entries []Entry, removed []string, seen Observation) (restarted []Entry) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, e := range entries {
-		ended = append(ended, v.putEntry(e, seen)...)
+		restarted = append(restarted, v.putEntry(e, seen)...)
 	}
-	for _, id := range gone {
+	for _, id := range removed {
 		if s := v.servers[id]; s != nil {
 			v.removeEntry(s, seen)
 		}
 	}
 	v.prune(seen.ReceivedAt)
 	v.notifyChanged()
-	return ended
+	return restarted
 }
 
 // putEntry applies one entry; see Update. The caller holds the lock.
-func (v *View) putEntry(e Entry, seen Observation) (ended []Entry) {
+func (v *View) putEntry(e Entry, seen Observation) (restarted []Entry) {
 	now := seen.ReceivedAt
 	s := v.servers[e.ID]
 	if s != nil && s.supersedes(e) {
 		return nil
 	}
-	var again time.Time
+	var restartedAt time.Time
 	if s != nil && s.isRestart(e) {
-		ended = append(ended, s.Entry)
+		restarted = append(restarted, s.Entry)
 		v.forgetLimit(s)
 		s.abandonAttempts()
-		s, again = nil, now
+		s, restartedAt = nil, now
 		clear(v.readyServers)
 	}
 	if s == nil {
-		s = &server{key: KeyOf(e), idHash: xxhash.Sum64String(e.ID), joinedAt: now, restartedAt: again, attempts: map[*Choice]struct{}{}}
+		s = &server{key: KeyOf(e), idHash: xxhash.Sum64String(e.ID), joinedAt: now, restartedAt: restartedAt, attempts: map[*Choice]struct{}{}}
 		v.servers[e.ID], v.keyIndex = s, nil
 	}
 	before, service, version := s.ready(), s.Service, s.Version
@@ -177,12 +177,12 @@
 	}
 	if e.Draining {
 		s.leave(now, v.usableUntil(seen))
-		return ended
+		return restarted
 	}
 	if s.leavingAnnouncedAt.IsZero() {
 		s.leftAt, s.usableUntil = time.Time{}, time.Time{}
 	}
-	return ended
+	return restarted
 }
 
 // departedRetention is how long the state of a server that has left is kept, for attempts that are
--- a/internal/backend/zonelatency.go
+++ b/internal/backend/zonelatency.go
@@ -38,12 +38,13 @@
 	}
 }
 
-func (d connectTime) withSample(took time.Duration) connectTime {
-	if d.sampleCount == 0 {
+// withSample returns the average with one more sample.
+func (t connectTime) withSample(took time.Duration) connectTime {
+	if t.sampleCount == 0 {
 		return connectTime{mean: took, sampleCount: 1}
 	}
-	took = min(took, maxConnectTimeFactor*d.mean)
-	return connectTime{mean: d.mean + time.Duration(connectTimeWeight*float64(took-d.mean)), sampleCount: d.sampleCount + 1}
+	took = min(took, maxConnectTimeFactor*t.mean)
+	return connectTime{mean: t.mean + time.Duration(connectTimeWeight*float64(took-t.mean)), sampleCount: t.sampleCount + 1}
 }
 
 // crossZoneLatency returns the additional network latency to a zone compared with the own zone. A
