--- a/internal/backup/backup.go
+++ b/internal/backup/backup.go
@@ -24,9 +24,9 @@
 type Owner struct {
 	Daemon      string
 	Incarnation uint64
-	// Listed is a revision of the VM list that shows the daemon's VM. Only who
+	// ListedRevision is a revision of the VM list that shows the daemon's VM. Only who
 	// has read the list up to there can tell its death by its absence.
-	Listed int64
+	ListedRevision int64
 }
 
 // Copy is a request as its backup knows it.
@@ -58,15 +58,15 @@
 
 // Store holds copies within a limit of memory.
 type Store struct {
-	mu     sync.Mutex
-	most   int
-	bytes  int
-	copies map[request.ID]*Copy
+	mu       sync.Mutex
+	maxBytes int
+	bytes    int
+	copies   map[request.ID]*Copy
 }
 
 // NewStore returns an empty store that holds at most that many bytes.
 func NewStore(most int) *Store {
-	return &Store{most: most, copies: map[request.ID]*Copy{}}
+	return &Store{maxBytes: most, copies: map[request.ID]*Copy{}}
 }
 
 // Put keeps a copy. An older copy of the same request is replaced, but a
@@ -79,7 +79,7 @@
 		c.Permitted = c.Permitted || old.Permitted
 		freed = old.size()
 	}
-	if s.bytes-freed+c.size() > s.most {
+	if s.bytes-freed+c.size() > s.maxBytes {
 		return ErrFull
 	}
 	s.bytes += c.size() - freed
@@ -119,8 +119,8 @@
 	return s.copies[id] != nil
 }
 
-// Len returns the number of copies and their memory in bytes.
-func (s *Store) Len() (copies, bytes int) {
+// Size returns the number of copies and their memory in bytes.
+func (s *Store) Size() (copies, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.copies), s.bytes
@@ -137,8 +137,8 @@
 	return slices.Sorted(maps.Keys(owners))
 }
 
-// TakeIf removes and returns the copies whose owner is proved dead.
-func (s *Store) TakeIf(dead func(Owner) bool) []Copy {
+// TakeFromDead removes and returns the copies whose owner is proved dead.
+func (s *Store) TakeFromDead(dead func(Owner) bool) []Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var taken []Copy
--- a/internal/callerapi/keyed.go
+++ b/internal/callerapi/keyed.go
@@ -53,13 +53,13 @@
 		return p
 	case keys.VerdictMismatch:
 		return refuse(http.StatusUnprocessableEntity, "this key was used for another request")
-	case keys.VerdictGone:
+	case keys.VerdictAnswerNotKept:
 		return newProblem(http.StatusGone, request.OutcomeOK, "the request with this key has run; its answer was too large to keep")
 	case keys.VerdictUnknown:
 		return newProblem(http.StatusGatewayTimeout, request.OutcomeUnknown, "the request with this key may have run and its answer is lost")
 	}
 	p := refuse(result.Refusal.Status, result.Refusal.Detail)
-	if result.Verdict == keys.VerdictAway {
+	if result.Verdict == keys.VerdictHomeUnreachable {
 		p = newProblem(result.Refusal.Status, request.OutcomeUnknown, result.Refusal.Detail+": send the same key again")
 	}
 	p.retryAfter = result.Refusal.RetryAfter
--- a/internal/callerapi/plain.go
+++ b/internal/callerapi/plain.go
@@ -90,11 +90,11 @@
 	if key == "" {
 		return a.submit(c, spec)
 	}
-	if len(key) > keys.MaxKey {
+	if len(key) > keys.MaxKeyBytes {
 		return refuse(http.StatusBadRequest, headerKey+": longer than 255 bytes").Err()
 	}
 	ref := keys.NewRef(keys.HomeZone(call.index.Deployment, call.workspace), keys.Scope{
-		Workspace: call.workspace.Name, Service: name, Path: keys.Path(path),
+		Workspace: call.workspace.Name, Service: name, Path: keys.PathWithoutQuery(path),
 	}, key, spec.Plain.Method, body)
 	spec.Key = &request.Key{KeyRef: ref}
 	return a.submitKeyed(c, spec)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -162,25 +162,25 @@
 		Logger:      d.logger,
 	})
 	d.dispatcher = dispatch.New(dispatch.Options{
-		DaemonID:    d.settings.Daemon.ID,
-		Zone:        d.settings.Daemon.Zone,
-		Limits:      d.settings.Limits,
-		Registry:    d.registry,
-		Limiter:     d.limiter,
-		Engine:      engine.NewClient(client),
-		Plain:       plain.NewClient(options.Network, d.settings.Limits.AnswerBytes),
-		Replicator:  d.mesh,
-		Burn:        d.burn,
-		Quarantine:  d.quarantine,
-		Dial:        options.Network.Dial,
-		Advised:     func() { d.mesh.TriggerHeartbeats() },
-		Logger:      d.logger,
-		Registerer:  d.metrics,
-		OnViolation: options.OnViolation,
+		DaemonID:        d.settings.Daemon.ID,
+		Zone:            d.settings.Daemon.Zone,
+		Limits:          d.settings.Limits,
+		Registry:        d.registry,
+		Limiter:         d.limiter,
+		Engine:          engine.NewClient(client),
+		Plain:           plain.NewClient(options.Network, d.settings.Limits.AnswerBytes),
+		Replicator:      d.mesh,
+		Burn:            d.burn,
+		Quarantine:      d.quarantine,
+		Dial:            options.Network.Dial,
+		OnAdviceChanged: func() { d.mesh.TriggerHeartbeats() },
+		Logger:          d.logger,
+		Registerer:      d.metrics,
+		OnViolation:     options.OnViolation,
 		PrepareKeyed: func(spec request.Spec) func(context.Context) error {
 			return d.keys.Prepare(spec)
 		},
-		OnKeyed: func(spec request.Spec, answer *request.PlainAnswer, failure *request.Failure) {
+		OnKeyedEnd: func(spec request.Spec, answer *request.PlainAnswer, failure *request.Failure) {
 			d.keys.Ended(spec, spec.ID, answer, failure)
 		},
 	})
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -67,7 +67,7 @@
 	if err := d.dispatcher.Drain(kill); err != nil {
 		return eris.Wrap(err, "wait for requests")
 	}
-	d.dispatcher.HandOver(kill)
+	d.dispatcher.HandOverAnswers(kill)
 	d.releaseKeys(kill)
 	d.logger.Info("every request has ended")
 	return nil
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -22,7 +22,7 @@
 		var leave context.CancelCauseFunc
 		ctx, leave = context.WithCancelCause(ctx)
 		defer leave(nil)
-		go cancelOn(ctx, slot.Evacuate, leave)
+		go cancelOnEvacuate(ctx, slot.Evacuate, leave)
 	}
 	spec := flight.spec.Plain
 	answer, err := d.options.Plain.Do(ctx, choice.Server.Address, plain.Call{
@@ -34,7 +34,7 @@
 		Path:       spec.Path,
 		Header:     spec.Header,
 		Body:       spec.Body,
-		OnAdvice:   d.adviceOf(choice.Server),
+		OnAdvice:   d.adviceHandler(choice.Server),
 	})
 	switch {
 	case err == nil:
@@ -51,11 +51,11 @@
 	case errors.Is(err, plain.ErrForeignAnswer):
 		d.metrics.mismatched.Inc()
 	}
-	return result{step: request.StepLost, broke: ctx.Err() == nil}
+	return result{step: request.StepLost, connBroken: ctx.Err() == nil}
 }
 
-// cancelOn ends an attempt when its server has to be left.
-func cancelOn(ctx context.Context, evacuate <-chan struct{}, cancel context.CancelCauseFunc) {
+// cancelOnEvacuate ends an attempt when its server has to be left.
+func cancelOnEvacuate(ctx context.Context, evacuate <-chan struct{}, cancel context.CancelCauseFunc) {
 	select {
 	case <-evacuate:
 		cancel(errEvacuated)
@@ -66,19 +66,19 @@
 func (d *Dispatcher) tryModel(ctx context.Context, flight *Flight, choice route.Choice, slot *discovery.Slot) result {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	go cancelOn(ctx, slot.Evacuate, cancel)
+	go cancelOnEvacuate(ctx, slot.Evacuate, cancel)
 	silence := time.AfterFunc(d.options.Limits.TryTimeout.Std(), func() { cancel(errSilent) })
 	defer silence.Stop()
 
-	stream := &modelStream{dispatcher: d, flight: flight, slot: slot, predicted: choice.Wait, number: flight.attempts()}
+	stream := &modelStream{dispatcher: d, flight: flight, slot: slot, predicted: choice.Wait, attempt: flight.attempts()}
 	attempt := d.engineAttempt(flight)
-	attempt.OnAdvice = d.adviceOf(choice.Server)
+	attempt.OnAdvice = d.adviceHandler(choice.Server)
 	err := d.options.Engine.Generate(ctx, choice.Server.Address, attempt, func(event engine.Event) error {
-		if !stream.owns(&event) {
+		if !stream.matches(&event) {
 			return nil
 		}
 		silence.Reset(d.options.Limits.TryTimeout.Std())
-		return stream.event(event)
+		return stream.handleEvent(event)
 	})
 	if err == nil && stream.finish == nil {
 		err = engine.ErrBroken
@@ -90,7 +90,7 @@
 		go d.cancelAtEngine(choice.Server.Address, flight)
 	}
 	failure := modelFailure(err)
-	failure.broke = failure.step == request.StepLost && ctx.Err() == nil
+	failure.connBroken = failure.step == request.StepLost && ctx.Err() == nil
 	return failure
 }
 
@@ -149,47 +149,47 @@
 	flight     *Flight
 	slot       *discovery.Slot
 	predicted  time.Duration
-	number     int
+	attempt    int
 	lastToken  time.Time
 	finish     *request.Finish
 }
 
-// owns checks an event's identity. A mismatched event is dropped and counted.
-func (s *modelStream) owns(event *engine.Event) bool {
-	if event.RequestID == string(s.flight.spec.ID) && event.Number == s.number {
+// matches checks an event's identity. A mismatched event is dropped and counted.
+func (s *modelStream) matches(event *engine.Event) bool {
+	if event.RequestID == string(s.flight.spec.ID) && event.Number == s.attempt {
 		return true
 	}
 	s.dispatcher.metrics.mismatched.Inc()
 	return false
 }
 
-// event adds an event to the answer.
-func (s *modelStream) event(event engine.Event) error {
+// handleEvent adds an event to the answer.
+func (s *modelStream) handleEvent(event engine.Event) error {
 	now := time.Now()
 	s.slot.FirstToken(s.predicted, now)
 	if event.FinishReason != "" {
-		return s.end(event)
+		return s.setFinish(event)
 	}
 	first, err := s.flight.addToken(event.Index, event.Token)
 	if err != nil {
 		return err
 	}
-	s.measure(first, now)
+	s.observeLatency(first, now)
 	return nil
 }
 
-func (s *modelStream) measure(first bool, now time.Time) {
+func (s *modelStream) observeLatency(first bool, now time.Time) {
 	if first {
 		took := now.Sub(s.flight.spec.Accepted)
 		s.dispatcher.metrics.firstToken.Observe(took.Seconds())
 		s.flight.firstToken = took
 	} else if !s.lastToken.IsZero() {
-		s.dispatcher.metrics.between.Observe(now.Sub(s.lastToken).Seconds())
+		s.dispatcher.metrics.betweenTokens.Observe(now.Sub(s.lastToken).Seconds())
 	}
 	s.lastToken = now
 }
 
-func (s *modelStream) end(event engine.Event) error {
+func (s *modelStream) setFinish(event engine.Event) error {
 	if event.Index != len(s.flight.produced()) {
 		return errTokenGap
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -44,15 +44,15 @@
 	Quarantine *watch.Watch
 	// Dial opens a connection to a server, which shows whether anybody listens there.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Advised is called when a server's answer has changed what it takes. Nil calls nothing.
-	Advised    func()
-	Logger     *slog.Logger
-	Registerer prometheus.Registerer
+	// OnAdviceChanged is called when a server's answer has changed what it takes. Nil calls nothing.
+	OnAdviceChanged func()
+	Logger          *slog.Logger
+	Registerer      prometheus.Registerer
 	// PrepareKeyed returns what has to be done before the first attempt of a
 	// request with a key that was taken over.
 	PrepareKeyed func(request.Spec) func(context.Context) error
-	// OnKeyed is called when a request with a key has ended at this daemon.
-	OnKeyed func(request.Spec, *request.PlainAnswer, *request.Failure)
+	// OnKeyedEnd is called when a request with a key has ended at this daemon.
+	OnKeyedEnd func(request.Spec, *request.PlainAnswer, *request.Failure)
 	// OnViolation is called when the program breaks an invariant; tests make
 	// it fatal.
 	OnViolation func(error)
@@ -65,12 +65,12 @@
 	ctx     context.Context
 	stop    context.CancelCauseFunc
 
-	mu       sync.Mutex
-	draining bool
-	flights  map[request.ID]*Flight
-	finished []*Flight
-	held     int
-	active   sync.WaitGroup
+	mu        sync.Mutex
+	draining  bool
+	flights   map[request.ID]*Flight
+	finished  []*Flight
+	heldBytes int
+	active    sync.WaitGroup
 }
 
 // New returns a dispatcher.
@@ -97,8 +97,8 @@
 	Elsewhere bool
 }
 
-// noServerRetry is the advice when a service has no server.
-const noServerRetry = 5 * time.Second
+// noServerRetryAfter is the advice when a service has no server.
+const noServerRetryAfter = 5 * time.Second
 
 // Submit admits a request and starts it. The ID and the time of acceptance are
 // filled in. A refusal means that nothing has run and nothing will.
@@ -119,7 +119,7 @@
 // attempt is made.
 func (d *Dispatcher) SubmitPrepared(spec request.Spec, prepare func(context.Context) error) (*Flight, *Refusal) {
 	now := time.Now()
-	if refusal := cmp.Or(d.refuseHeld(&spec, now), d.refuseForWait(&spec, now)); refusal != nil {
+	if refusal := cmp.Or(d.refuseQuarantined(&spec, now), d.refuseForWait(&spec, now)); refusal != nil {
 		return nil, refusal
 	}
 	verdict := d.options.Limiter.Admit(spec.Workspace, spec.Key != nil, now)
@@ -145,7 +145,7 @@
 func (d *Dispatcher) refuseForWait(spec *request.Spec, now time.Time) *Refusal {
 	choice, ok := d.pick(spec, nil, now)
 	if !ok {
-		return d.refuseForServers(spec, now)
+		return d.refuseNoServer(spec, now)
 	}
 	if most := spec.Route.Targets.QueueWait.Std(); choice.Wait > most {
 		return &Refusal{Status: http.StatusServiceUnavailable, Detail: "predicted wait is too long", RetryAfter: choice.Wait - most}
@@ -157,7 +157,7 @@
 	ctx, cancel := context.WithCancelCause(d.ctx)
 	flight.cancel = cancel
 	if flight.spec.Idempotent() && !flight.spec.Async {
-		flight.grace = time.AfterFunc(flight.spec.ResumeGrace, func() { cancel(errReadersGone) })
+		flight.graceTimer = time.AfterFunc(flight.spec.ResumeGrace, func() { cancel(errReadersGone) })
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -165,7 +165,7 @@
 		return ErrDraining
 	}
 	if _, known := d.flights[flight.spec.ID]; known {
-		return errKnown
+		return errDuplicate
 	}
 	d.flights[flight.spec.ID] = flight
 	d.active.Add(1)
@@ -201,7 +201,7 @@
 func (d *Dispatcher) finish(flight *Flight) {
 	d.options.Limiter.Release(flight.spec.Workspace)
 	d.metrics.inFlight.Dec()
-	d.tellKeyed(flight)
+	d.notifyKeyedEnd(flight)
 	if flight.movedAway() {
 		d.forget(flight)
 		return
@@ -210,22 +210,22 @@
 	d.metrics.requests.WithLabelValues(flight.spec.Service, string(status.Outcome)).Inc()
 	d.log(flight).Info("request ended", "state", status.State, "outcome", status.Outcome,
 		"attempts", status.Attempts, "tokens", status.Tokens, "took", time.Since(flight.spec.Accepted))
-	d.keep(flight)
+	d.retain(flight)
 	if !flight.spec.Idempotent() {
 		go d.release(flight)
 	}
 }
 
-// tellKeyed tells the end of a request with a key. One that moved away ends
+// notifyKeyedEnd tells the end of a request with a key. One that moved away ends
 // elsewhere.
-func (d *Dispatcher) tellKeyed(flight *Flight) {
+func (d *Dispatcher) notifyKeyedEnd(flight *Flight) {
 	flight.mu.Lock()
-	last := flight.last
+	last := flight.lastEvent
 	flight.mu.Unlock()
-	if flight.spec.Key == nil || d.options.OnKeyed == nil || last == nil || last.Moved || d.ctx.Err() != nil {
+	if flight.spec.Key == nil || d.options.OnKeyedEnd == nil || last == nil || last.Moved || d.ctx.Err() != nil {
 		return
 	}
-	d.options.OnKeyed(flight.spec, last.Plain, last.Failure)
+	d.options.OnKeyedEnd(flight.spec, last.Plain, last.Failure)
 }
 
 // forget drops a request that another daemon owns now.
@@ -241,26 +241,26 @@
 		"service", flight.spec.Service, "attempt", flight.attempts())
 }
 
-// keep holds a finished answer within the limits of time and memory.
-func (d *Dispatcher) keep(flight *Flight) {
+// retain holds a finished answer within the limits of time and memory.
+func (d *Dispatcher) retain(flight *Flight) {
 	size := flight.size()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.flights[flight.spec.ID] = flight
 	d.finished = append(d.finished, flight)
-	d.held += size
+	d.heldBytes += size
 	now := time.Now()
 	for len(d.finished) > 0 {
 		oldest := d.finished[0]
 		expired := now.Sub(oldest.endedAt) > d.options.Limits.AnswerKept.Std()
-		if !expired && d.held <= d.options.Limits.HeldBytes {
+		if !expired && d.heldBytes <= d.options.Limits.HeldBytes {
 			break
 		}
 		d.finished = d.finished[1:]
-		d.held -= oldest.size()
+		d.heldBytes -= oldest.size()
 		delete(d.flights, oldest.spec.ID)
 	}
-	d.metrics.heldBytes.Set(float64(d.held))
+	d.metrics.heldBytes.Set(float64(d.heldBytes))
 }
 
 // Find returns a request that this daemon holds, or ErrNotFound.
@@ -293,7 +293,7 @@
 }
 
 // Stop ends every request at once, as the death of the process would.
-func (d *Dispatcher) Stop() { d.stop(errDispatcherEnd) }
+func (d *Dispatcher) Stop() { d.stop(errStopped) }
 
 // violated reports a broken invariant.
 func (d *Dispatcher) violated(flight *Flight, err error) {
@@ -315,15 +315,15 @@
 // Hold keeps the finished answer of another daemon's request.
 func (d *Dispatcher) Hold(spec request.Spec, tokens []string, last Event) {
 	flight := newFlight(spec)
-	flight.held = true
+	flight.heldForPeer = true
 	flight.tokens = tokens
 	flight.publish(last, time.Now())
-	d.keep(flight)
+	d.retain(flight)
 }
 
-// HandOver gives each finished answer that nobody has read to another daemon.
+// HandOverAnswers gives each finished answer that nobody has read to another daemon.
 // It is called after Drain.
-func (d *Dispatcher) HandOver(ctx context.Context) {
+func (d *Dispatcher) HandOverAnswers(ctx context.Context) {
 	d.mu.Lock()
 	finished := append([]*Flight(nil), d.finished...)
 	d.mu.Unlock()
--- a/internal/dispatch/flight.go
+++ b/internal/dispatch/flight.go
@@ -58,23 +58,23 @@
 	// prepare runs before the first attempt.
 	prepare func(context.Context) error
 
-	mu      sync.Mutex
-	life    *request.Life
-	tokens  []string
-	last    *Event
-	changed chan struct{}
-	endedAt time.Time
-	cancel  context.CancelCauseFunc
+	mu        sync.Mutex
+	lifecycle *request.Life
+	tokens    []string
+	lastEvent *Event
+	changed   chan struct{}
+	endedAt   time.Time
+	cancel    context.CancelCauseFunc
 	// grace, when not nil, cancels the request some time after its last reader
 	// has gone.
-	grace   *time.Timer
-	readers int
-	// read is true when a reader has seen the end.
-	read bool
-	// held marks the answer of another daemon's request.
-	held bool
-	// away sends readers to another daemon while the request stays here.
-	away bool
+	graceTimer *time.Timer
+	readers    int
+	// answerRead is true when a reader has seen the end.
+	answerRead bool
+	// heldForPeer marks the answer of another daemon's request.
+	heldForPeer bool
+	// redirectReaders sends readers to another daemon while the request stays here.
+	redirectReaders bool
 	// backup is the daemon with a copy of copiedTokens tokens.
 	backup       string
 	copiedTokens int
@@ -82,11 +82,11 @@
 
 func newFlight(spec request.Spec) *Flight {
 	return &Flight{
-		spec:    spec,
-		content: ContentOf(&spec),
-		life:    request.NewLife(spec.Idempotent()),
-		changed: make(chan struct{}),
-		done:    make(chan struct{}),
+		spec:      spec,
+		content:   ContentOf(&spec),
+		lifecycle: request.NewLife(spec.Idempotent()),
+		changed:   make(chan struct{}),
+		done:      make(chan struct{}),
 	}
 }
 
@@ -109,22 +109,22 @@
 func (f *Flight) status() Status {
 	status := Status{
 		Spec:     f.spec,
-		State:    f.life.State(),
-		Attempts: f.life.Attempts(),
+		State:    f.lifecycle.State(),
+		Attempts: f.lifecycle.Attempts(),
 		Tokens:   len(f.tokens),
-		Outcome:  f.life.Outcome(),
+		Outcome:  f.lifecycle.Outcome(),
 	}
-	if f.last != nil && f.held {
-		status.State, status.Outcome = heldState(f.last)
+	if f.lastEvent != nil && f.heldForPeer {
+		status.State, status.Outcome = finalState(f.lastEvent)
 	}
-	if f.last != nil && f.last.Failure != nil {
-		status.Outcome = f.last.Failure.Outcome
+	if f.lastEvent != nil && f.lastEvent.Failure != nil {
+		status.Outcome = f.lastEvent.Failure.Outcome
 	}
 	return status
 }
 
-// heldState returns the final state that an answer's last event means.
-func heldState(last *Event) (request.State, request.Outcome) {
+// finalState returns the final state that an answer's last event means.
+func finalState(last *Event) (request.State, request.Outcome) {
 	if last.Failure == nil {
 		return request.StateAnswered, request.OutcomeOK
 	}
@@ -140,14 +140,14 @@
 	defer f.mu.Unlock()
 	const perToken = 32
 	size := 512 + len(f.tokens)*perToken
-	if f.last != nil && f.last.Plain != nil {
-		size += len(f.last.Plain.Body)
+	if f.lastEvent != nil && f.lastEvent.Plain != nil {
+		size += len(f.lastEvent.Plain.Body)
 	}
 	return size
 }
 
-// wake tells the readers that there is more; the caller holds the lock.
-func (f *Flight) wake() {
+// notifyReaders tells the readers that there is more; the caller holds the lock.
+func (f *Flight) notifyReaders() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
@@ -197,9 +197,9 @@
 		events = append(events, Event{Offset: i + 1, Token: f.tokens[i]})
 	}
 	switch {
-	case f.last != nil:
-		events = append(events, *f.last)
-	case f.away && here:
+	case f.lastEvent != nil:
+		events = append(events, *f.lastEvent)
+	case f.redirectReaders && here:
 		events = append(events, Event{Offset: len(f.tokens), Moved: true})
 	}
 	return events, f.changed
@@ -209,8 +209,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.readers++
-	if f.grace != nil {
-		f.grace.Stop()
+	if f.graceTimer != nil {
+		f.graceTimer.Stop()
 	}
 }
 
@@ -220,41 +220,41 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.readers--
-	if f.readers > 0 || f.last != nil || f.grace == nil {
+	if f.readers > 0 || f.lastEvent != nil || f.graceTimer == nil {
 		return
 	}
-	f.grace.Reset(f.spec.ResumeGrace)
+	f.graceTimer.Reset(f.spec.ResumeGrace)
 }
 
 func (f *Flight) markRead(event *Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.read = !event.Moved
+	f.answerRead = !event.Moved
 }
 
-// hasEnded reports whether the request has ended.
+// serverEnded reports whether the request has ended.
 func (f *Flight) hasEnded() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.last != nil
+	return f.lastEvent != nil
 }
 
-// leave tells the request to go to another daemon. Without effect on an
+// requestHandOver tells the request to go to another daemon. Without effect on an
 // attempt that must not be repeated.
-func (f *Flight) leave(cause error) {
+func (f *Flight) requestHandOver(cause error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.spec.Idempotent() || f.life.State() == request.StateAccepted {
+	if f.spec.Idempotent() || f.lifecycle.State() == request.StateAccepted {
 		f.cancel(cause)
 	}
 }
 
-// sendAway sends the readers to another daemon.
-func (f *Flight) sendAway() {
+// redirect sends the readers to another daemon.
+func (f *Flight) redirect() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.away = true
-	f.wake()
+	f.redirectReaders = true
+	f.notifyReaders()
 }
 
 // close publishes the last event of a request that has taken its final step.
@@ -268,13 +268,13 @@
 func (f *Flight) step(step request.Step) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.life.Apply(step)
+	return f.lifecycle.Apply(step)
 }
 
 func (f *Flight) attempts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.life.Attempts()
+	return f.lifecycle.Attempts()
 }
 
 // produced returns the tokens so far.
@@ -295,11 +295,11 @@
 	if index > len(f.tokens) {
 		return false, errTokenGap
 	}
-	if err := f.life.Apply(request.StepToken); err != nil {
+	if err := f.lifecycle.Apply(request.StepToken); err != nil {
 		return false, err
 	}
 	f.tokens = append(f.tokens, token)
-	f.wake()
+	f.notifyReaders()
 	return len(f.tokens) == 1, nil
 }
 
@@ -307,7 +307,7 @@
 func (f *Flight) end(step request.Step, last Event, now time.Time) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.life.Apply(step); err != nil {
+	if err := f.lifecycle.Apply(step); err != nil {
 		return err
 	}
 	f.publish(last, now)
@@ -316,11 +316,11 @@
 
 func (f *Flight) publish(last Event, now time.Time) {
 	last.Offset = len(f.tokens)
-	f.last = &last
+	f.lastEvent = &last
 	f.endedAt = now
-	if f.grace != nil {
-		f.grace.Stop()
+	if f.graceTimer != nil {
+		f.graceTimer.Stop()
 	}
-	f.wake()
+	f.notifyReaders()
 	close(f.done)
 }
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -7,16 +7,16 @@
 )
 
 type metrics struct {
-	requests   *prometheus.CounterVec
-	attempts   *prometheus.CounterVec
-	inFlight   prometheus.Gauge
-	firstToken prometheus.Histogram
-	between    prometheus.Histogram
-	tokens     *prometheus.CounterVec
-	mismatched prometheus.Counter
-	violations prometheus.Counter
-	heldBytes  prometheus.Gauge
-	uncopied   prometheus.Counter
+	requests      *prometheus.CounterVec
+	attempts      *prometheus.CounterVec
+	inFlight      prometheus.Gauge
+	firstToken    prometheus.Histogram
+	betweenTokens prometheus.Histogram
+	promptTokens  *prometheus.CounterVec
+	mismatched    prometheus.Counter
+	violations    prometheus.Counter
+	heldBytes     prometheus.Gauge
+	uncopied      prometheus.Counter
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -34,11 +34,11 @@
 			Name: "plankridge_first_token_seconds", Help: "Time from acceptance to the first token.",
 			Buckets: []float64{.05, .1, .25, .5, .75, 1, 1.5, 2, 3, 5, 10},
 		}),
-		between: prometheus.NewHistogram(prometheus.HistogramOpts{
+		betweenTokens: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "plankridge_between_tokens_seconds", Help: "Time between two tokens of a stream.",
 			Buckets: []float64{.01, .02, .04, .06, .072, .1, .2, .5, 1, 5},
 		}),
-		tokens: prometheus.NewCounterVec(prometheus.CounterOpts{
+		promptTokens: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "plankridge_prompt_tokens_total", Help: "Prompt tokens, reused from a cache or computed.",
 		}, []string{"service", "source"}),
 		mismatched: prometheus.NewCounter(prometheus.CounterOpts{
@@ -54,8 +54,8 @@
 	m.uncopied = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "plankridge_uncopied_requests_total", Help: "Times that no daemon took the copy of a request.",
 	})
-	registerer.MustRegister(m.uncopied, m.requests, m.attempts, m.inFlight, m.firstToken, m.between,
-		m.tokens, m.mismatched, m.violations, m.heldBytes)
+	registerer.MustRegister(m.uncopied, m.requests, m.attempts, m.inFlight, m.firstToken, m.betweenTokens,
+		m.promptTokens, m.mismatched, m.violations, m.heldBytes)
 	return m
 }
 
@@ -64,6 +64,6 @@
 	if finish == nil {
 		return
 	}
-	m.tokens.WithLabelValues(service, "reused").Add(float64(finish.CachedTokens))
-	m.tokens.WithLabelValues(service, "computed").Add(float64(finish.PromptTokens - finish.CachedTokens))
+	m.promptTokens.WithLabelValues(service, "reused").Add(float64(finish.CachedTokens))
+	m.promptTokens.WithLabelValues(service, "computed").Add(float64(finish.PromptTokens - finish.CachedTokens))
 }
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -17,9 +17,9 @@
 	"github.com/plankridge/plankridge/internal/route"
 )
 
-// heldRetry is the advice to callers whose request ends the servers that run it: by then somebody
+// quarantineRetryAfter is the advice to callers whose request ends the servers that run it: by then somebody
 // may have looked at it.
-const heldRetry = 30 * time.Second
+const quarantineRetryAfter = 30 * time.Second
 
 // ContentOf returns what tells requests that ask the same.
 func ContentOf(spec *request.Spec) quarantine.Content {
@@ -34,17 +34,17 @@
 	return quarantine.ContentOf(spec.Workspace, string(spec.Kind), spec.Service, "", asked)
 }
 
-// refuseHeld refuses a request that is held back.
-func (d *Dispatcher) refuseHeld(spec *request.Spec, now time.Time) *Refusal {
+// refuseQuarantined refuses a request that is held back.
+func (d *Dispatcher) refuseQuarantined(spec *request.Spec, now time.Time) *Refusal {
 	if !d.options.Quarantine.Barred(ContentOf(spec), now) {
 		return nil
 	}
-	return &Refusal{Status: http.StatusServiceUnavailable, Detail: errEndsServers.Error(), RetryAfter: heldRetry}
+	return &Refusal{Status: http.StatusServiceUnavailable, Detail: errEndsServers.Error(), RetryAfter: quarantineRetryAfter}
 }
 
-// mayGoOn reports why a request may not be sent to a server, once more where an attempt has
+// checkQuarantine reports why a request may not be sent to a server, once more where an attempt has
 // broken.
-func (d *Dispatcher) mayGoOn(flight *Flight, now time.Time) error {
+func (d *Dispatcher) checkQuarantine(flight *Flight, now time.Time) error {
 	switch {
 	case d.options.Quarantine.Barred(flight.content, now):
 		return errEndsServers
@@ -54,23 +54,23 @@
 	return nil
 }
 
-// broke tells that an attempt has ended with its connection: its server may have ended.
-func (d *Dispatcher) broke(flight *Flight, server route.Server, sent, at time.Time) {
+// reportBroken tells that an attempt has ended with its connection: its server may have ended.
+func (d *Dispatcher) reportBroken(flight *Flight, server route.Server, sent, at time.Time) {
 	d.options.Quarantine.Broke(watch.Server{
-		Key: endingKey(server.ID, at), ID: server.ID, Service: flight.spec.Service,
-		Ended: func(ctx context.Context) bool { return d.hasEnded(ctx, server.Address) },
+		Key: serverEndKey(server.ID, at), ID: server.ID, Service: flight.spec.Service,
+		Ended: func(ctx context.Context) bool { return d.serverEnded(ctx, server.Address) },
 	}, quarantine.Lost{Content: flight.content, Sent: sent}, false, at)
 }
 
-// endingKey names the end of a server. A process that starts again keeps its VM's ID, and the
+// serverEndKey names the end of a server. A process that starts again keeps its VM's ID, and the
 // list of VMs does not tell its starts apart; the attempts that one end breaks, break within
 // milliseconds, and no process is back within a second.
-func endingKey(id string, at time.Time) quarantine.Server {
+func serverEndKey(id string, at time.Time) quarantine.Server {
 	return quarantine.Server(xxhash.Sum64String(id + "/" + strconv.FormatInt(at.Unix(), 10)))
 }
 
-// hasEnded asks whether nobody listens any more at a server's address.
-func (d *Dispatcher) hasEnded(ctx context.Context, address string) bool {
+// serverEnded asks whether nobody listens any more at a server's address.
+func (d *Dispatcher) serverEnded(ctx context.Context, address string) bool {
 	if d.options.Dial == nil {
 		return false
 	}
--- a/internal/dispatch/replicate.go
+++ b/internal/dispatch/replicate.go
@@ -36,10 +36,10 @@
 }
 
 const (
-	// copyAfter is the age at which an idempotent request that its caller
+	// copyDelay is the age at which an idempotent request that its caller
 	// waits for is copied. Until then the caller, whose connection breaks with
 	// the daemon, is no worse off than with a daemon that refused.
-	copyAfter = 250 * time.Millisecond
+	copyDelay = 250 * time.Millisecond
 	// extendInterval is the time between two updates of a copy.
 	extendInterval = time.Second
 	// copyTimeout bounds one message to a backup, all tries included.
@@ -48,7 +48,7 @@
 
 // replicate keeps a copy of an idempotent request up to date until it ends.
 func (d *Dispatcher) replicate(flight *Flight) {
-	wait := copyAfter
+	wait := copyDelay
 	for {
 		timer := time.NewTimer(wait)
 		select {
@@ -68,11 +68,11 @@
 	ctx, cancel := context.WithTimeout(d.ctx, copyTimeout)
 	defer cancel()
 	tokens := flight.produced()
-	backup, copied := flight.copied()
+	backup, copied := flight.copyState()
 	if backup != "" {
 		update := Copy{Spec: flight.spec, Offset: copied, Tokens: tokens[copied:]}
 		if len(update.Tokens) == 0 || d.options.Replicator.Extend(ctx, backup, update) == nil {
-			flight.setCopied(backup, len(tokens))
+			flight.setCopyState(backup, len(tokens))
 			return
 		}
 	}
@@ -82,12 +82,12 @@
 		d.log(flight).Warn("request has no copy", "error", err)
 		return
 	}
-	flight.setCopied(backup, len(tokens))
+	flight.setCopyState(backup, len(tokens))
 }
 
 // release drops the copy of a request that has ended.
 func (d *Dispatcher) release(flight *Flight) {
-	backup, _ := flight.copied()
+	backup, _ := flight.copyState()
 	if backup == "" || flight.movedAway() {
 		return
 	}
@@ -103,7 +103,7 @@
 // After that the backup can tell the caller "unknown" instead of nothing.
 // Without a reachable backup the owner goes on alone, which is counted.
 func (d *Dispatcher) permit(ctx context.Context, flight *Flight) {
-	if backup, _ := flight.copied(); backup != "" {
+	if backup, _ := flight.copyState(); backup != "" {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
@@ -114,16 +114,16 @@
 		d.log(flight).Warn("non-idempotent request has no copy", "error", err)
 		return
 	}
-	flight.setCopied(backup, 0)
+	flight.setCopyState(backup, 0)
 }
 
-func (f *Flight) copied() (backup string, tokens int) {
+func (f *Flight) copyState() (backup string, tokens int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.backup, f.copiedTokens
 }
 
-func (f *Flight) setCopied(backup string, tokens int) {
+func (f *Flight) setCopyState(backup string, tokens int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.backup, f.copiedTokens = backup, tokens
@@ -133,7 +133,7 @@
 func (f *Flight) movedAway() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.life.State() == request.StateHandedOver
+	return f.lifecycle.State() == request.StateHandedOver
 }
 
 // Evacuate hands every request over that has not ended. Requests that may have
@@ -159,9 +159,9 @@
 		d.handOverAnswer(ctx, flight)
 		return
 	}
-	flight.leave(errLeaving)
+	flight.requestHandOver(errLeaving)
 	if !flight.spec.Idempotent() {
-		flight.sendAway()
+		flight.redirect()
 	}
 	select {
 	case <-flight.done:
@@ -180,7 +180,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(d.ctx), copyTimeout)
 	defer cancel()
-	backup, _ := flight.copied()
+	backup, _ := flight.copyState()
 	err := d.options.Replicator.TakeOver(ctx, backup, Copy{Spec: flight.spec, Tokens: flight.produced()})
 	if err == nil {
 		flight.close(Event{Moved: true}, time.Now())
@@ -196,12 +196,12 @@
 // handOverAnswer gives an ended request's answer to a daemon that keeps it.
 func (d *Dispatcher) handOverAnswer(ctx context.Context, flight *Flight) {
 	flight.mu.Lock()
-	skip := flight.read || flight.last == nil || flight.last.Moved
+	skip := flight.answerRead || flight.lastEvent == nil || flight.lastEvent.Moved
 	flight.mu.Unlock()
 	if skip {
 		return
 	}
-	if err := d.options.Replicator.Hold(ctx, flight.spec, flight.produced(), *flight.last); err != nil {
+	if err := d.options.Replicator.Hold(ctx, flight.spec, flight.produced(), *flight.lastEvent); err != nil {
 		d.log(flight).Warn("cannot hand over an unread answer", "error", err)
 	}
 }
@@ -219,7 +219,7 @@
 	if err != nil {
 		d.options.Limiter.Release(spec.Workspace)
 	}
-	if errors.Is(err, errKnown) {
+	if errors.Is(err, errDuplicate) {
 		return nil
 	}
 	d.log(flight).Info("request taken over", "tokens", len(tokens), "error", err)
@@ -234,5 +234,5 @@
 	}})
 }
 
-// leaving reports whether a request was told to leave this daemon.
-func leaving(cause error) bool { return errors.Is(cause, errLeaving) }
+// isLeaving reports whether a request was told to leave this daemon.
+func isLeaving(cause error) bool { return errors.Is(cause, errLeaving) }
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -26,8 +26,8 @@
 // result is how an attempt ended.
 type result struct {
 	step request.Step
-	// broke is set where the other side broke the connection: the server may have ended.
-	broke bool
+	// connBroken is set where the other side broke the connection: the server may have ended.
+	connBroken bool
 	// last is the end of the answer when step is StepAnswer.
 	last Event
 	// fatal means that no further attempt can succeed.
@@ -45,30 +45,30 @@
 	tried := map[string]bool{}
 	for round := 0; ; round++ {
 		if ctx.Err() != nil {
-			d.leaveOff(flight, context.Cause(ctx))
+			d.endInterrupted(flight, context.Cause(ctx))
 			return
 		}
-		if err := cmp.Or(flight.mayDispatch(), d.mayGoOn(flight, time.Now())); err != nil {
+		if err := cmp.Or(flight.mayDispatch(), d.checkQuarantine(flight, time.Now())); err != nil {
 			d.giveUp(flight, err)
 			return
 		}
-		choice, slot, ok := d.place(flight, tried)
+		choice, slot, ok := d.acquireServer(flight, tried)
 		if !ok {
-			d.await(ctx, round)
+			d.awaitServerChange(ctx, round)
 			continue
 		}
 		if d.attempt(ctx, flight, choice, slot) {
 			return
 		}
 		tried[choice.Server.ID] = true
-		d.pause(ctx, round)
+		d.waitBackoff(ctx, round)
 	}
 }
 
-// leaveOff ends a request whose context has ended: it goes to another daemon
+// endInterrupted ends a request whose context has ended: it goes to another daemon
 // when this one is leaving.
-func (d *Dispatcher) leaveOff(flight *Flight, cause error) {
-	if leaving(cause) {
+func (d *Dispatcher) endInterrupted(flight *Flight, cause error) {
+	if isLeaving(cause) {
 		d.handOver(flight)
 		return
 	}
@@ -78,11 +78,11 @@
 func (f *Flight) mayDispatch() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.life.MayDispatch()
+	return f.lifecycle.MayDispatch()
 }
 
-// place picks a server and takes a slot on it.
-func (d *Dispatcher) place(flight *Flight, tried map[string]bool) (route.Choice, *discovery.Slot, bool) {
+// acquireServer picks a server and takes a slot on it.
+func (d *Dispatcher) acquireServer(flight *Flight, tried map[string]bool) (route.Choice, *discovery.Slot, bool) {
 	now := time.Now()
 	choice, ok := d.pick(&flight.spec, tried, now)
 	if !ok {
@@ -92,8 +92,8 @@
 	return choice, slot, ok
 }
 
-// await waits until a server may be there.
-func (d *Dispatcher) await(ctx context.Context, round int) {
+// awaitServerChange waits until a server may be there.
+func (d *Dispatcher) awaitServerChange(ctx context.Context, round int) {
 	timer := time.NewTimer(backoff(round))
 	defer timer.Stop()
 	select {
@@ -103,7 +103,7 @@
 	}
 }
 
-func (d *Dispatcher) pause(ctx context.Context, round int) {
+func (d *Dispatcher) waitBackoff(ctx context.Context, round int) {
 	timer := time.NewTimer(backoff(round))
 	defer timer.Stop()
 	select {
@@ -141,15 +141,15 @@
 	failed := outcome.step != request.StepAnswer && ctx.Err() == nil
 	ended := time.Now()
 	slot.Release(failed, ended)
-	if outcome.broke {
-		d.broke(flight, choice.Server, sent, ended)
+	if outcome.connBroken {
+		d.reportBroken(flight, choice.Server, sent, ended)
 	}
 	d.metrics.attempts.WithLabelValues(flight.spec.Service, string(outcome.step)).Inc()
-	return d.settle(flight, choice, outcome)
+	return d.completeAttempt(flight, choice, outcome)
 }
 
-// settle takes the step that an attempt ended with.
-func (d *Dispatcher) settle(flight *Flight, choice route.Choice, outcome result) bool {
+// completeAttempt takes the step that an attempt ended with.
+func (d *Dispatcher) completeAttempt(flight *Flight, choice route.Choice, outcome result) bool {
 	now := time.Now()
 	if outcome.step == request.StepAnswer {
 		d.options.Quarantine.Answered(flight.content, now)
@@ -157,7 +157,7 @@
 			d.violated(flight, err)
 		}
 		d.metrics.countUsage(flight.spec.Service, outcome.last.Finish)
-		d.record(flight, flight.inTime(now), now)
+		d.recordBurn(flight, flight.metTargets(now), now)
 		return true
 	}
 	d.log(flight).Warn("attempt failed", "server", choice.Server.ID, "result", outcome.step)
@@ -171,9 +171,9 @@
 	return false
 }
 
-// inTime reports whether the answer met its route's latency targets. The time
+// metTargets reports whether the answer met its route's latency targets. The time
 // between tokens is taken as the mean over the stream.
-func (f *Flight) inTime(now time.Time) bool {
+func (f *Flight) metTargets(now time.Time) bool {
 	targets := f.spec.Route.Targets
 	took := now.Sub(f.spec.Accepted)
 	if f.spec.Kind == request.KindPlain {
@@ -191,19 +191,19 @@
 		})
 		return
 	}
-	outcome := flight.honest(request.OutcomeNotRun)
+	outcome := flight.provableOutcome(request.OutcomeNotRun)
 	d.fail(flight, request.StepGiveUp, request.Failure{
 		Outcome: outcome, Detail: cause.Error(), Status: statusOf(outcome),
 	})
 }
 
-// honest returns the wanted outcome, or a weaker one when an attempt may have
+// provableOutcome returns the wanted outcome, or a weaker one when an attempt may have
 // run.
-func (f *Flight) honest(wanted request.Outcome) request.Outcome {
+func (f *Flight) provableOutcome(wanted request.Outcome) request.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case f.life.Outcome() == request.OutcomeNotRun:
+	case f.lifecycle.Outcome() == request.OutcomeNotRun:
 		return wanted
 	case f.spec.Idempotent():
 		return request.OutcomeFailed
@@ -223,18 +223,18 @@
 
 func (d *Dispatcher) fail(flight *Flight, step request.Step, failure request.Failure) {
 	now := time.Now()
-	failure.Outcome = flight.honest(failure.Outcome)
+	failure.Outcome = flight.provableOutcome(failure.Outcome)
 	if err := flight.end(step, Event{Failure: &failure}, now); err != nil {
 		d.violated(flight, err)
 	}
 	if step != request.StepCancel {
-		d.record(flight, false, now)
+		d.recordBurn(flight, false, now)
 	}
 }
 
-// record counts the request as good or bad against its objective. Deferrable
+// recordBurn counts the request as good or bad against its objective. Deferrable
 // work is good when it is whole.
-func (d *Dispatcher) record(flight *Flight, inTime bool, now time.Time) {
+func (d *Dispatcher) recordBurn(flight *Flight, inTime bool, now time.Time) {
 	status, _ := flight.Status(context.Background())
 	good := status.Outcome == request.OutcomeOK && (inTime || flight.spec.Class == config.ClassDeferrable)
 	key := burn.Key{Service: flight.spec.Service, Workspace: flight.spec.Workspace}
--- a/internal/forward/advice.go
+++ b/internal/forward/advice.go
@@ -8,8 +8,8 @@
 	"github.com/plankridge/plankridge/internal/backend"
 )
 
-// advised applies the advice in a response, unless another server has the address now.
-func (r *run) advised(choice *backend.Choice, answer *Answer) {
+// applyAdvice applies the advice in a response, unless another server has the address now.
+func (r *run) applyAdvice(choice *backend.Choice, answer *Answer) {
 	if answer.WrongServer {
 		return
 	}
@@ -22,8 +22,8 @@
 	if change.LeavingAnnounced {
 		r.options.Logger.Info("server leaves by its own announcement", "server", choice.ID, "service", choice.Service, "zone", choice.Zone, "request_id", r.call.ID, "from", "answer")
 	}
-	if (change.LeavingAnnounced || limited && change.After.Limited != change.Before.Limited) && r.options.Advised != nil {
-		r.options.Advised()
+	if (change.LeavingAnnounced || limited && change.After.Limited != change.Before.Limited) && r.options.OnAdviceChanged != nil {
+		r.options.OnAdviceChanged()
 	}
 }
 
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -13,75 +13,75 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// heldAnswer is the size in bytes up to which an answer is read whole before
+// maxBufferedAnswer is the size in bytes up to which an answer is read whole before
 // the caller gets its head, so that a broken one can still be replaced. Answers
 // of plain services are about 800 bytes; longer ones pass through as they come.
-const heldAnswer = 64 << 10
+const maxBufferedAnswer = 64 << 10
 
-// whole handles an answer that is not a stream of events.
-func (r *run) whole(ctx context.Context, choice *backend.Choice, answer *Answer) result {
-	r.first = time.Since(r.call.Arrived)
-	held, err := io.ReadAll(io.LimitReader(answer.Body, heldAnswer+1))
+// forwardAnswer handles an answer that is not a stream of events.
+func (r *run) forwardAnswer(ctx context.Context, choice *backend.Choice, answer *Answer) result {
+	r.firstAnswerAfter = time.Since(r.call.Arrived)
+	held, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedAnswer+1))
 	if err != nil {
-		return r.broken(ctx, "broken-answer")
+		return r.endBroken(ctx, "broken-answer")
 	}
-	r.count(time.Now())
-	if len(held) <= heldAnswer {
-		r.survived(time.Now())
+	r.countUsage(time.Now())
+	if len(held) <= maxBufferedAnswer {
+		r.reportCompleted(time.Now())
 	}
-	if r.worthAnother(answer.Status) {
+	if r.shouldRetry(answer.Status) {
 		answer.Exchange.Close()
-		failed := r.ended(request.StepLost, backend.OutcomeFailed, "status-"+strconv.Itoa(answer.Status))
-		failed.answered = answeredBadly
+		failed := r.endWithStep(request.StepLost, backend.OutcomeFailed, "status-"+strconv.Itoa(answer.Status))
+		failed.signal = signalBad
 		return failed
 	}
 	choice.RecordEvent(time.Now())
-	r.start(answer)
+	r.sendHeader(answer)
 	if err := r.reply.Write(held); err != nil {
-		return r.callerLeft()
+		return r.endCallerLeft()
 	}
-	if len(held) > heldAnswer {
-		if err := r.pass(answer); err != nil {
+	if len(held) > maxBufferedAnswer {
+		if err := r.copyRest(answer); err != nil {
 			_ = r.step(request.StepCancel)
-			return result{outcome: backend.OutcomeNeutral, what: "cut", done: true, err: err}
+			return result{outcome: backend.OutcomeNeutral, label: "cut", done: true, err: err}
 		}
-		r.survived(time.Now())
+		r.reportCompleted(time.Now())
 	}
 	answer.Exchange.Close()
 	_ = r.step(request.StepAnswer)
-	outcome, how := backend.OutcomeServed, answeredWell
+	outcome, how := backend.OutcomeServed, signalGood
 	if answer.Status >= http.StatusInternalServerError {
-		outcome, how = backend.OutcomeFailed, answeredBadly
+		outcome, how = backend.OutcomeFailed, signalBad
 	}
-	return result{outcome: outcome, answered: how, what: strconv.Itoa(answer.Status), done: true}
+	return result{outcome: outcome, signal: how, label: strconv.Itoa(answer.Status), done: true}
 }
 
-// callerLeft ends a call whose answer nobody takes.
-func (r *run) callerLeft() result {
+// endCallerLeft ends a call whose answer nobody takes.
+func (r *run) endCallerLeft() result {
 	_ = r.step(request.StepCancel)
-	return result{outcome: backend.OutcomeNeutral, what: "caller-left", done: true, err: errCallerLeft}
+	return result{outcome: backend.OutcomeNeutral, label: "caller-left", done: true, err: errCallerLeft}
 }
 
-// worthAnother reports whether a server's failure is better followed by another
+// shouldRetry reports whether a server's failure is better followed by another
 // attempt than passed on.
-func (r *run) worthAnother(status int) bool {
+func (r *run) shouldRetry(status int) bool {
 	return status >= http.StatusInternalServerError &&
 		r.call.Route.Repeat == catalog.RunsAgain &&
 		r.sends < r.call.Route.MaxAttempts &&
-		time.Until(r.call.Deadline()) >= leastTry
+		time.Until(r.call.Deadline()) >= minAttemptTime
 }
 
-// start sends the head of the answer.
-func (r *run) start(answer *Answer) {
-	if r.started {
+// sendHeader sends the head of the answer.
+func (r *run) sendHeader(answer *Answer) {
+	if r.headerSent {
 		return
 	}
-	r.started, r.status = true, answer.Status
+	r.headerSent, r.status = true, answer.Status
 	r.reply.Begin(answer.Status, answer.Header)
 }
 
-// pass copies the rest of a long answer.
-func (r *run) pass(answer *Answer) error {
+// copyRest copies the rest of a long answer.
+func (r *run) copyRest(answer *Answer) error {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := answer.Body.Read(buffer)
@@ -94,7 +94,7 @@
 			return nil
 		}
 		if err != nil {
-			return ErrCut
+			return ErrTruncated
 		}
 	}
 }
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -17,42 +17,42 @@
 // result is how an attempt ended.
 type result struct {
 	outcome backend.Outcome
-	what    string
-	// answered says how the server answered, as far as that says something of its version.
-	answered answered
-	// broke is set where the other side broke the connection: the server may have ended.
-	broke bool
-	// restarted is set where it broke since the server has started again.
-	restarted bool
+	label   string
+	// signal says how the server answered, as far as that says something of its version.
+	signal versionSignal
+	// connBroken is set where the other side broke the connection: the server may have ended.
+	connBroken bool
+	// serverRestarted is set where it broke since the server has started again.
+	serverRestarted bool
 	// done means that the call has its final state, err.
 	done bool
 	err  error
 }
 
-// answered is how a server answered. A connection that broke says nothing of its version.
-type answered int
+// versionSignal is how a server answered. A connection that broke says nothing of its version.
+type versionSignal int
 
 const (
-	answeredNothing answered = iota
-	answeredWell
-	answeredBadly
+	signalNone versionSignal = iota
+	signalGood
+	signalBad
 )
 
 // try makes one attempt.
 func (r *run) try(ctx context.Context, choice *backend.Choice) result {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stopWatch := r.watchSilence(cancel)
+	stopWatch := r.startSilenceTimer(cancel)
 	defer stopWatch()
 	// Behind a cut the connection to the earlier incarnation stays silent.
 	choice.OnRestart(func() { cancel(errRestarted) })
 	if err := r.step(request.StepDispatch); err != nil {
-		return result{outcome: backend.OutcomeNeutral, what: "not-allowed", done: true, err: r.giveUp(ctx, &Refusal{Reason: err.Error()})}
+		return result{outcome: backend.OutcomeNeutral, label: "not-allowed", done: true, err: r.giveUp(ctx, &Refusal{Reason: err.Error()})}
 	}
 	r.charged = false
-	answer, err := r.options.Backend.Send(ctx, r.attempt(choice))
+	answer, err := r.options.Backend.Send(ctx, r.newAttempt(choice))
 	if errors.Is(err, upstream.ErrNotSent) {
-		return r.notSent(ctx, choice, err)
+		return r.endNotSent(ctx, choice, err)
 	}
 	if r.sends++; r.sends == 1 {
 		r.options.Budget.Count(r.call.Service, time.Now())
@@ -61,72 +61,72 @@
 		r.options.RollOuts.Exposed(r.call.Service)
 	}
 	if err != nil {
-		return r.noAnswer(ctx)
+		return r.endNoAnswer(ctx)
 	}
 	defer answer.Exchange.Drop()
-	r.advised(choice, answer)
-	return r.take(ctx, choice, answer)
+	r.applyAdvice(choice, answer)
+	return r.handleAnswer(ctx, choice, answer)
 }
 
-// notSent ends an attempt that did not reach its server.
-func (r *run) notSent(ctx context.Context, choice *backend.Choice, err error) result {
+// endNotSent ends an attempt that did not reach its server.
+func (r *run) endNotSent(ctx context.Context, choice *backend.Choice, err error) result {
 	choice.RefundAdmission()
 	r.unsent++
-	if errors.Is(err, upstream.ErrCalledOff) {
-		return r.ended(request.StepNotSent, backend.OutcomeNeutral, "left")
+	if errors.Is(err, upstream.ErrSendDenied) {
+		return r.endWithStep(request.StepNotSent, backend.OutcomeNeutral, "left")
 	}
-	return r.ended(request.StepNotSent, r.failure(ctx), "not-sent")
+	return r.endWithStep(request.StepNotSent, r.failureOutcome(ctx), "not-sent")
 }
 
-// ended takes the step that an attempt without an answer for the caller ended
+// endWithStep takes the step that an attempt without an answer for the caller ended
 // with.
-func (r *run) ended(step request.Step, outcome backend.Outcome, what string) result {
+func (r *run) endWithStep(step request.Step, outcome backend.Outcome, what string) result {
 	_ = r.step(step)
 	r.charged = r.verdict != nil && (step == request.StepNotSent || step == request.StepDeclined)
-	return result{outcome: outcome, what: what}
+	return result{outcome: outcome, label: what}
 }
 
-// noAnswer ends an attempt whose server sent no head of an answer. Silence until the time is
+// endNoAnswer ends an attempt whose server sent no head of an answer. Silence until the time is
 // up is an answer of a kind.
-func (r *run) noAnswer(ctx context.Context) result {
-	ended := r.broken(ctx, "no-answer")
+func (r *run) endNoAnswer(ctx context.Context) result {
+	ended := r.endBroken(ctx, "no-answer")
 	if cause := context.Cause(ctx); errors.Is(cause, errSilent) || errors.Is(cause, errTimeout) {
-		ended.answered = answeredBadly
+		ended.signal = signalBad
 	}
 	return ended
 }
 
-// lost ends an attempt that may have run and whose answer will not come.
-func (r *run) lost(ctx context.Context, what string) result {
-	r.count(time.Now())
-	return r.ended(request.StepLost, r.failure(ctx), what)
+// endLost ends an attempt that may have run and whose answer will not come.
+func (r *run) endLost(ctx context.Context, what string) result {
+	r.countUsage(time.Now())
+	return r.endWithStep(request.StepLost, r.failureOutcome(ctx), what)
 }
 
-// broken ends an attempt whose connection broke, or that this daemon gave up.
-func (r *run) broken(ctx context.Context, what string) result {
-	ended := r.lost(ctx, what)
+// endBroken ends an attempt whose connection broke, or that this daemon gave up.
+func (r *run) endBroken(ctx context.Context, what string) result {
+	ended := r.endLost(ctx, what)
 	cause := context.Cause(ctx)
-	ended.restarted = errors.Is(cause, errRestarted)
-	ended.broke = cause == nil || ended.restarted
+	ended.serverRestarted = errors.Is(cause, errRestarted)
+	ended.connBroken = cause == nil || ended.serverRestarted
 	return ended
 }
 
-// failure is the outcome of an attempt without an answer: a caller that left
+// failureOutcome is the outcome of an attempt without an answer: a caller that left
 // or a timeout of our own says little about the server.
-func (r *run) failure(ctx context.Context) backend.Outcome {
+func (r *run) failureOutcome(ctx context.Context) backend.Outcome {
 	if errors.Is(context.Cause(ctx), context.Canceled) {
 		return backend.OutcomeNeutral
 	}
 	return backend.OutcomeFailed
 }
 
-func (r *run) attempt(choice *backend.Choice) Attempt {
+func (r *run) newAttempt(choice *backend.Choice) Attempt {
 	return Attempt{
-		Call:     r.call,
-		Server:   choice.Entry,
-		Left:     time.Until(r.call.CallerDeadline()),
-		After:    r.after,
-		Priority: r.priority(),
+		Call:        r.call,
+		Server:      choice.Entry,
+		TimeLeft:    time.Until(r.call.CallerDeadline()),
+		LastEventID: r.lastEventID,
+		Priority:    r.priority(),
 
 		FetchFrom: choice.FetchFrom,
 		MaxIdle:   r.maxIdle(),
@@ -134,69 +134,69 @@
 	}
 }
 
-// overdueRank is added to the rank of a call that is late whatever happens: it goes behind
+// overdueRankPenalty is added to the rank of a call that is late whatever happens: it goes behind
 // all that are not, whose ranks are 0 to 2 at today's users.
-const overdueRank = 5
+const overdueRankPenalty = 5
 
-// lastPriority is the least urgent that engines know.
-const lastPriority = 9
+// lowestPriority is the least urgent that engines know.
+const lowestPriority = 9
 
 // priority returns the engine's order of admission.
 func (r *run) priority() int {
 	rank := r.call.Rank
 	if r.overdue() {
-		rank += overdueRank
+		rank += overdueRankPenalty
 	}
-	return min(lastPriority, rank)
+	return min(lowestPriority, rank)
 }
 
 // maxIdle returns how long a connection for the call may have been idle.
 func (r *run) maxIdle() time.Duration {
 	if r.call.Route.Repeat == catalog.RunsAgain {
-		return idleAgain
+		return maxIdleIdempotent
 	}
-	return idleOnce
+	return maxIdleNonIdempotent
 }
 
-// watchSilence ends an attempt at an idempotent request whose server stays
+// startSilenceTimer ends an attempt at an idempotent request whose server stays
 // silent, while another attempt is left. The returned function stops it.
-func (r *run) watchSilence(cancel context.CancelCauseFunc) (stop func() bool) {
+func (r *run) startSilenceTimer(cancel context.CancelCauseFunc) (stop func() bool) {
 	if r.call.Route.Repeat != catalog.RunsAgain || r.sends+1 >= r.call.Route.MaxAttempts {
 		return func() bool { return false }
 	}
-	limit := max(minSilence, silenceFactor*r.call.Route.Target)
+	limit := max(minSilenceTimeout, silenceTargetFactor*r.call.Route.Target)
 	return time.AfterFunc(limit, func() { cancel(errSilent) }).Stop
 }
 
-// count counts the call as one that a server began to run, once.
-func (r *run) count(at time.Time) {
-	if r.counted || r.call.Workspace == "" {
+// countUsage counts the call as one that a server began to run, once.
+func (r *run) countUsage(at time.Time) {
+	if r.usageCounted || r.call.Workspace == "" {
 		return
 	}
-	r.counted = true
+	r.usageCounted = true
 	r.options.Usage.Began(r.call.Workspace, at)
 }
 
-// take handles the head of an answer.
-func (r *run) take(ctx context.Context, choice *backend.Choice, answer *Answer) result {
+// handleAnswer handles the head of an answer.
+func (r *run) handleAnswer(ctx context.Context, choice *backend.Choice, answer *Answer) result {
 	switch {
 	case answer.WrongServer:
-		return r.ended(request.StepDeclined, backend.OutcomeWrongServer, "wrong-server")
+		return r.endWithStep(request.StepDeclined, backend.OutcomeWrongServer, "wrong-server")
 	case answer.NotRun:
 		// The connection is kept when the short rest of the answer is read.
-		_, _ = io.CopyN(io.Discard, answer.Body, heldAnswer)
+		_, _ = io.CopyN(io.Discard, answer.Body, maxBufferedAnswer)
 		answer.Exchange.Close()
-		declined := r.ended(request.StepDeclined, backend.OutcomeFull, "declined")
-		declined.answered = answeredBadly
+		declined := r.endWithStep(request.StepDeclined, backend.OutcomeFull, "declined")
+		declined.signal = signalBad
 		return declined
 	case !answer.Signed:
-		return r.lost(ctx, "unsigned")
-	case answer.Events && answer.Status == http.StatusOK:
-		return r.stream(ctx, choice, answer)
-	case r.started:
+		return r.endLost(ctx, "unsigned")
+	case answer.IsEventStream && answer.Status == http.StatusOK:
+		return r.forwardStream(ctx, choice, answer)
+	case r.headerSent:
 		// The caller has events of an earlier attempt: this answer cannot follow
 		// them.
-		return r.lost(ctx, "status-"+strconv.Itoa(answer.Status))
+		return r.endLost(ctx, "status-"+strconv.Itoa(answer.Status))
 	}
-	return r.whole(ctx, choice, answer)
+	return r.forwardAnswer(ctx, choice, answer)
 }
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -41,10 +41,10 @@
 	// Prompt is nil for requests that no engine reads.
 	Prompt  *Prompt
 	Arrived time.Time
-	// Limit is how long the caller waits; zero means that it did not say.
-	Limit time.Duration
-	// After is the last event of a stream that the caller has, or empty.
-	After string
+	// CallerTimeout is how long the caller waits; zero means that it did not say.
+	CallerTimeout time.Duration
+	// LastEventID is the last event of a stream that the caller has, or empty.
+	LastEventID string
 }
 
 // Prompt is what a request asks of a model engine.
@@ -60,8 +60,8 @@
 // Deadline returns when the caller must have its final answer.
 func (c *Call) Deadline() time.Time {
 	wait := c.Route.Timeout
-	if c.Limit > 0 && c.Limit < wait {
-		wait = c.Limit
+	if c.CallerTimeout > 0 && c.CallerTimeout < wait {
+		wait = c.CallerTimeout
 	}
 	return c.Arrived.Add(wait)
 }
@@ -69,15 +69,15 @@
 // CallerDeadline returns when the caller stops waiting. Backend servers are
 // told no more than that.
 func (c *Call) CallerDeadline() time.Time {
-	if c.Limit > 0 {
-		return c.Arrived.Add(c.Limit)
+	if c.CallerTimeout > 0 {
+		return c.Arrived.Add(c.CallerTimeout)
 	}
 	return c.Arrived.Add(c.Route.Timeout)
 }
 
-// cost is the number of tokens that the call takes from its workspace's
+// tokenCost is the number of tokens that the call takes from its workspace's
 // allowance.
-func (c *Call) cost(w *catalog.Workspace) float64 {
+func (c *Call) tokenCost(w *catalog.Workspace) float64 {
 	switch {
 	case !w.ByTokens:
 		return 1
@@ -96,10 +96,10 @@
 type Attempt struct {
 	Call   *Call
 	Server backend.Entry
-	// Left is the time that the server may take.
-	Left time.Duration
-	// After is the last event that the caller has, or empty.
-	After string
+	// TimeLeft is the time that the server may take.
+	TimeLeft time.Duration
+	// LastEventID is the last event that the caller has, or empty.
+	LastEventID string
 	// Priority is the engine's order of admission, 0 first, 9 last.
 	Priority int
 	// FetchFrom is the address of a server that the receiver copies prompt parts
@@ -113,8 +113,8 @@
 
 // Errors of an attempt, beside those of package upstream.
 var (
-	// ErrForeign means that an answer belongs to another request.
-	ErrForeign = errors.New("answer belongs to another request")
+	// ErrOtherRequest means that an answer belongs to another request.
+	ErrOtherRequest = errors.New("answer belongs to another request")
 )
 
 // Answer is the head of a server's answer and its body.
@@ -130,8 +130,8 @@
 	Signed bool
 	// Advice is the server's load advice.
 	Advice advice.Advice
-	// Events is set for an answer of events.
-	Events bool
+	// IsEventStream is set for an answer of events.
+	IsEventStream bool
 	// Exchange ends the exchange.
 	Exchange Exchange
 }
@@ -174,9 +174,9 @@
 // Error implements error.
 func (r *Refusal) Error() string { return r.Reason }
 
-// ErrCut means that the answer has begun and cannot be finished: the
+// ErrTruncated means that the answer has begun and cannot be finished: the
 // connection to the caller has to be closed so that it looks cut.
-var ErrCut = errors.New("answer was cut off")
+var ErrTruncated = errors.New("answer was cut off")
 
 // Limiter decides on a workspace's allowance.
 type Limiter interface {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -22,31 +22,31 @@
 )
 
 const (
-	// retrySoon is the advice after a refusal that a moment may cure: a server
+	// retryAfterTransient is the advice after a refusal that a moment may cure: a server
 	// that was full or could not be reached.
-	retrySoon = 150 * time.Millisecond
-	// retryHeld is the advice to a caller whose request ends servers: nothing but a change of
+	retryAfterTransient = 150 * time.Millisecond
+	// retryAfterQuarantine is the advice to a caller whose request ends servers: nothing but a change of
 	// the servers or of the request will do.
-	retryHeld = 30 * time.Second
-	// retryNoServer is the advice when a service has no server: new ones boot
+	retryAfterQuarantine = 30 * time.Second
+	// retryAfterNoServer is the advice when a service has no server: new ones boot
 	// for some seconds.
-	retryNoServer = 500 * time.Millisecond
-	// maxUnsent bounds the servers that could not be reached before a request is
+	retryAfterNoServer = 500 * time.Millisecond
+	// maxUnreachable bounds the servers that could not be reached before a request is
 	// refused; none of them has seen it.
-	maxUnsent = 3
-	// silenceFactor times a route's target is how long an idempotent attempt may
-	// stay silent before another server is tried, and minSilence its least.
-	silenceFactor = 2
-	minSilence    = 200 * time.Millisecond
-	// leastTry is the least time left with which another server is tried: below, an
+	maxUnreachable = 3
+	// silenceTargetFactor times a route's target is how long an idempotent attempt may
+	// stay silent before another server is tried, and minSilenceTimeout its least.
+	silenceTargetFactor = 2
+	minSilenceTimeout   = 200 * time.Millisecond
+	// minAttemptTime is the least time left with which another server is tried: below, an
 	// answer comes in time from hardly any service that is called over a network.
-	leastTry = 30 * time.Millisecond
-	// idleOnce bounds how long a connection for a request that runs once may
+	minAttemptTime = 30 * time.Millisecond
+	// maxIdleNonIdempotent bounds how long a connection for a request that runs once may
 	// have been idle: a server that closes it as the request arrives leaves
-	// open whether it ran. idleAgain is the same for requests that may be sent
+	// open whether it ran. maxIdleIdempotent is the same for requests that may be sent
 	// again. Servers keep idle connections for some seconds and say how many.
-	idleOnce  = 500 * time.Millisecond
-	idleAgain = 5 * time.Second
+	maxIdleNonIdempotent = 500 * time.Millisecond
+	maxIdleIdempotent    = 5 * time.Second
 )
 
 var (
@@ -69,13 +69,13 @@
 	RollOuts RollOuts
 	// Quarantine holds back requests that end servers. Nil holds nothing back.
 	Quarantine Quarantine
-	// Limits tell how long ago a caller first tried.
-	Limits *firsttry.Limits
-	// Notice tells other daemons of a prompt that keeps a server reading for long.
-	Notice func(server backend.Entry, tokens int)
-	// Advised is called when a server's answer has changed what others should know. Nil calls
+	// CallerTimeouts tell how long ago a caller first tried.
+	CallerTimeouts *firsttry.Limits
+	// OnLargePrompt tells other daemons of a prompt that keeps a server reading for long.
+	OnLargePrompt func(server backend.Entry, tokens int)
+	// OnAdviceChanged is called when a server's answer has changed what others should know. Nil calls
 	// nothing.
-	Advised func()
+	OnAdviceChanged func()
 	// Freshness returns how long ago the store told of the servers, and whether
 	// it fails to answer. It is for the log only.
 	Freshness func() (serversAge time.Duration, storeFailing bool)
@@ -107,24 +107,24 @@
 	tried  map[string]bool
 	// candidate is set while the call tries the version that a roll-out names.
 	candidate bool
-	// life decides what may be sent again and what the caller may be told.
-	life *request.Life
-	// counted is set once the call counts as usage, asked once as demand.
-	counted bool
-	asked   bool
-	// started is set once the head of the answer has gone to the caller.
-	started bool
-	// after is the last event that the caller has.
-	after string
+	// lifecycle decides what may be sent again and what the caller may be told.
+	lifecycle *request.Life
+	// usageCounted is set once the call counts as usage, asked once as demand.
+	usageCounted  bool
+	demandCounted bool
+	// headerSent is set once the head of the answer has gone to the caller.
+	headerSent bool
+	// lastEventID is the last event that the caller has.
+	lastEventID string
 	// cost is what the call takes of its workspace's allowance.
 	cost float64
-	// age is how long before this attempt the caller first tried.
-	age time.Duration
+	// callerAge is how long before this attempt the caller first tried.
+	callerAge time.Duration
 	// content tells requests that ask the same.
-	content quarantine.Content
-	first   time.Duration
-	status  int
-	history []attempted
+	content          quarantine.Content
+	firstAnswerAfter time.Duration
+	status           int
+	history          []attemptRecord
 	// verdict is the last decision of the call's allowance, if it has one, and charged is set while what it
 	// admitted is for a run that has not begun.
 	verdict *allowance.Verdict
@@ -132,25 +132,25 @@
 }
 
 // Forward serves a call. It returns nil when the answer of a server was passed
-// on whole, a *Refusal when nothing has been sent to the caller, and ErrCut
+// on whole, a *Refusal when nothing has been sent to the caller, and ErrTruncated
 // when the answer could not be finished.
 func (f *Forwarder) Forward(ctx context.Context, call *Call, reply Reply) error {
 	r := &run{
-		Forwarder: f, call: call, reply: reply, tried: map[string]bool{}, after: call.After,
-		life: request.NewLife(call.Route.MayRepeat()), content: call.content(),
+		Forwarder: f, call: call, reply: reply, tried: map[string]bool{}, lastEventID: call.LastEventID,
+		lifecycle: request.NewLife(call.Route.MayRepeat()), content: call.content(),
 	}
-	if f.options.Limits != nil {
-		r.age = f.options.Limits.Age(call.Route.Name, call.Limit)
+	if f.options.CallerTimeouts != nil {
+		r.callerAge = f.options.CallerTimeouts.Age(call.Route.Name, call.CallerTimeout)
 	}
-	err := r.admitted(ctx)
-	r.record(ctx, err)
+	err := r.runWithinAllowance(ctx)
+	r.recordCall(ctx, err)
 	return err
 }
 
 // step takes a step of the call's life. A step that it does not have is a fault
 // of this program.
 func (r *run) step(step request.Step) error {
-	err := r.life.Apply(step)
+	err := r.lifecycle.Apply(step)
 	if errors.Is(err, request.ErrInvariant) {
 		r.options.Metrics.violations.Inc()
 		r.options.Logger.Error("invariant violated", "request_id", r.call.ID, "error", err)
@@ -162,33 +162,33 @@
 }
 
 // mayHaveRun reports whether an attempt may have run.
-func (r *run) mayHaveRun() bool { return r.life.Outcome() != request.OutcomeNotRun }
+func (r *run) mayHaveRun() bool { return r.lifecycle.Outcome() != request.OutcomeNotRun }
 
-// admitted runs the call within its workspace's allowance.
-func (r *run) admitted(ctx context.Context) error {
-	if refusal := r.heldBack(time.Now()); refusal != nil {
+// runWithinAllowance runs the call within its workspace's allowance.
+func (r *run) runWithinAllowance(ctx context.Context) error {
+	if refusal := r.checkQuarantine(time.Now()); refusal != nil {
 		return r.giveUp(ctx, refusal)
 	}
 	w := r.workspace()
 	if w == nil || w.TokensPerSecond == 0 {
-		return r.attempts(ctx)
+		return r.runAttempts(ctx)
 	}
-	cost := r.call.cost(w)
+	cost := r.call.tokenCost(w)
 	r.cost = cost
 	verdict := r.options.Limiter.Admit(w.Name, cost)
 	r.verdict = &verdict
 	if !verdict.Admitted {
-		return &Refusal{Status: http.StatusTooManyRequests, Reason: aboveAllowance, RetryAfter: verdict.RetryAfter}
+		return &Refusal{Status: http.StatusTooManyRequests, Reason: reasonAboveAllowance, RetryAfter: verdict.RetryAfter}
 	}
 	r.charged = true
-	err := r.attempts(ctx)
+	err := r.runAttempts(ctx)
 	if r.charged {
 		r.options.Limiter.Refund(w.Name, cost, r.verdict.At)
 	}
 	return err
 }
 
-const aboveAllowance = "workspace is above its allowance"
+const reasonAboveAllowance = "workspace is above its allowance"
 
 // chargeRepeat takes another run of the call from its workspace's allowance, if the run before may have happened.
 func (r *run) chargeRepeat() *Refusal {
@@ -198,15 +198,15 @@
 	verdict := r.options.Limiter.Repeat(r.call.Workspace, r.cost)
 	r.verdict = &verdict
 	if !verdict.Admitted {
-		return &Refusal{Reason: aboveAllowance}
+		return &Refusal{Reason: reasonAboveAllowance}
 	}
 	r.charged = true
 	return nil
 }
 
-// heldBack refuses a call that ends the servers that run it.
-func (r *run) heldBack(now time.Time) *Refusal {
-	refusal := &Refusal{Status: http.StatusServiceUnavailable, RetryAfter: retryHeld}
+// checkQuarantine refuses a call that ends the servers that run it.
+func (r *run) checkQuarantine(now time.Time) *Refusal {
+	refusal := &Refusal{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterQuarantine}
 	switch {
 	case r.options.Quarantine == nil:
 		return nil
@@ -220,22 +220,22 @@
 	return refusal
 }
 
-// survived notes that a server has run the call to the end.
-func (r *run) survived(now time.Time) {
+// reportCompleted notes that a server has run the call to the end.
+func (r *run) reportCompleted(now time.Time) {
 	if r.options.Quarantine != nil {
 		r.options.Quarantine.Answered(r.content, now)
 	}
 }
 
-// broke tells that an attempt that was sent at a time has ended with its connection.
-func (r *run) broke(server backend.Entry, result result, sent, at time.Time) {
-	if !result.broke || r.options.Quarantine == nil {
+// reportBroken tells that an attempt that was sent at a time has ended with its connection.
+func (r *run) reportBroken(server backend.Entry, result result, sent, at time.Time) {
+	if !result.connBroken || r.options.Quarantine == nil {
 		return
 	}
 	r.options.Quarantine.Broke(watch.Server{
 		Key: quarantine.Server(backend.KeyOf(server)), ID: server.ID, Service: server.Service, BornMs: server.StartTimeMs,
 		Ended: func(ctx context.Context) bool { return r.options.Backend.Ended(ctx, server) },
-	}, quarantine.Lost{Content: r.content, Sent: sent}, result.restarted, at)
+	}, quarantine.Lost{Content: r.content, Sent: sent}, result.serverRestarted, at)
 }
 
 func (r *run) workspace() *catalog.Workspace {
@@ -247,79 +247,79 @@
 	return nil
 }
 
-// attempts tries servers until the call has its answer or must be given up.
-func (r *run) attempts(ctx context.Context) error {
+// runAttempts tries servers until the call has its answer or must be given up.
+func (r *run) runAttempts(ctx context.Context) error {
 	ctx, cancel := context.WithDeadlineCause(ctx, r.call.Deadline(), errTimeout)
 	defer cancel()
-	r.tryVersion()
+	r.chooseVersion()
 	for {
 		now := time.Now()
-		if refusal := cmp.Or(r.mayTry(now), r.heldBack(now)); refusal != nil {
+		if refusal := cmp.Or(r.checkAttempt(now), r.checkQuarantine(now)); refusal != nil {
 			return r.giveUp(ctx, refusal)
 		}
 		if refusal := r.chargeRepeat(); refusal != nil {
 			return r.giveUp(ctx, refusal)
 		}
 		if r.sends > 0 && !r.options.Budget.Take(r.call.Service, now) {
-			return r.giveUp(ctx, &Refusal{Status: http.StatusServiceUnavailable, Reason: "retry budget is spent", RetryAfter: retrySoon})
+			return r.giveUp(ctx, &Refusal{Status: http.StatusServiceUnavailable, Reason: "retry budget is spent", RetryAfter: retryAfterTransient})
 		}
 		choice, ok := r.options.View.Begin(r.need(), now)
 		if !ok {
-			return r.giveUp(ctx, r.noServer(now))
+			return r.giveUp(ctx, r.refuseNoServer(now))
 		}
-		r.ask(choice, now)
-		if refusal := r.tooLate(choice, now); refusal != nil {
+		r.countDemand(choice, now)
+		if refusal := r.refuseTooLate(choice, now); refusal != nil {
 			choice.RefundAdmission()
 			choice.End(backend.OutcomeNeutral, now)
-			r.note(choice, "not-tried", now, now)
+			r.recordAttempt(choice, "not-tried", now, now)
 			return r.giveUp(ctx, refusal)
 		}
-		if choice.LongPrefill && r.options.Notice != nil {
-			r.options.Notice(choice.Entry, choice.PrefillTokens)
+		if choice.LongPrefill && r.options.OnLargePrompt != nil {
+			r.options.OnLargePrompt(choice.Entry, choice.PrefillTokens)
 		}
 		result := r.try(ctx, choice)
 		ended := time.Now()
 		choice.End(result.outcome, ended)
-		r.note(choice, result.what, now, ended)
-		r.judge(choice, result, ended.Sub(now))
-		r.broke(choice.Entry, result, now, ended)
+		r.recordAttempt(choice, result.label, now, ended)
+		r.reportToRollOut(choice, result, ended.Sub(now))
+		r.reportBroken(choice.Entry, result, now, ended)
 		if result.done {
 			return result.err
 		}
 		r.tried[choice.ID] = true
-		r.tryAgain()
+		r.chooseRetryVersion()
 		if ctx.Err() != nil {
 			return r.giveUp(ctx, &Refusal{Status: http.StatusGatewayTimeout, Reason: "timeout"})
 		}
 	}
 }
 
-// noServer refuses a call for which no server may be picked.
-func (r *run) noServer(now time.Time) *Refusal {
+// refuseNoServer refuses a call for which no server may be picked.
+func (r *run) refuseNoServer(now time.Time) *Refusal {
 	wait, found := r.options.View.RetryAfter(r.need(), now)
 	if !found {
-		return &Refusal{Status: http.StatusServiceUnavailable, Reason: "service has no backend server", RetryAfter: retryNoServer}
+		return &Refusal{Status: http.StatusServiceUnavailable, Reason: "service has no backend server", RetryAfter: retryAfterNoServer}
 	}
-	return &Refusal{Status: http.StatusServiceUnavailable, Reason: "backend servers rest or are at the limits that they name", RetryAfter: max(retrySoon, wait)}
+	return &Refusal{Status: http.StatusServiceUnavailable, Reason: "backend servers rest or are at the limits that they name", RetryAfter: max(retryAfterTransient, wait)}
 }
 
-// ask counts the call's demand, once.
-func (r *run) ask(choice *backend.Choice, now time.Time) {
-	if r.asked {
+// countDemand counts the call's demand, once.
+func (r *run) countDemand(choice *backend.Choice, now time.Time) {
+	if r.demandCounted {
 		return
 	}
-	r.asked = true
+	r.demandCounted = true
 	r.options.Demand.Asked(r.call.Service, choice.Load, now)
 }
 
-// tooLate refuses a call whose first answer would come so late that another
+// refuseTooLate refuses a call whose first answer would come so late that another
 // caller is better served by the same work.
-func (r *run) tooLate(choice *backend.Choice, now time.Time) *Refusal {
+func (r *run) refuseTooLate(choice *backend.Choice, now time.Time) *Refusal {
 	if r.call.Prompt == nil || r.mayHaveRun() || !choice.Calibrated {
 		return nil
 	}
 	timing := route.Timing{
-		Age: r.age + now.Sub(r.call.Arrived), Wait: choice.Wait, IdleWait: choice.IdleWait,
+		Age: r.callerAge + now.Sub(r.call.Arrived), Wait: choice.Wait, IdleWait: choice.IdleWait,
 		Target: r.call.Route.Target, Remaining: r.call.CallerDeadline().Sub(now),
 	}
 	if !timing.ShouldRefuse() {
@@ -327,38 +327,38 @@
 	}
 	return &Refusal{
 		Status: http.StatusServiceUnavailable, Reason: "predicted wait is too long",
-		RetryAfter: max(retrySoon, choice.Wait-r.call.Route.Target/2),
+		RetryAfter: max(retryAfterTransient, choice.Wait-r.call.Route.Target/2),
 	}
 }
 
 // overdue reports whether the caller first tried so long ago that its answer is late
 // whatever happens.
-func (r *run) overdue() bool { return route.Overdue(r.age, r.call.Route.Target) }
+func (r *run) overdue() bool { return route.Overdue(r.callerAge, r.call.Route.Target) }
 
 func (r *run) need() backend.Need {
 	need := backend.Need{Service: r.call.Service, Zone: r.options.Zone, Target: r.call.Route.Target, Tried: r.tried, Candidate: r.candidate, SampleSeed: xxhash.Sum64String(r.call.ID)}
 	need.Final = r.sends+1 >= r.call.Route.MaxAttempts
 	if p := r.call.Prompt; p != nil {
 		need.Deferred = r.overdue()
-		need.PromptTokens, need.Parts, need.Answer, need.Resumed = p.Tokens, p.Parts, pace.Answer{Allowed: p.MaxOutput, Hinted: p.LikelyOutput}, r.after != ""
+		need.PromptTokens, need.Parts, need.Answer, need.Resumed = p.Tokens, p.Parts, pace.Answer{Allowed: p.MaxOutput, Hinted: p.LikelyOutput}, r.lastEventID != ""
 	}
 	return need
 }
 
-// mayTry returns nil when another attempt may begin, as far as the call itself
+// checkAttempt returns nil when another attempt may begin, as far as the call itself
 // is concerned.
-func (r *run) mayTry(now time.Time) *Refusal {
-	refusal := &Refusal{Status: http.StatusServiceUnavailable, RetryAfter: retrySoon}
+func (r *run) checkAttempt(now time.Time) *Refusal {
+	refusal := &Refusal{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterTransient}
 	switch {
-	case r.sends == 0 && r.unsent < maxUnsent:
+	case r.sends == 0 && r.unsent < maxUnreachable:
 		return nil
 	case r.sends == 0:
 		refusal.Reason = "no backend server could be reached"
-	case errors.Is(r.life.MayDispatch(), request.ErrMayHaveRun):
+	case errors.Is(r.lifecycle.MayDispatch(), request.ErrMayHaveRun):
 		refusal.Reason = "an earlier attempt may have run"
 	case r.sends >= max(1, r.call.Route.MaxAttempts):
 		refusal.Reason = "route allows no further attempt"
-	case r.call.Deadline().Sub(now) < leastTry:
+	case r.call.Deadline().Sub(now) < minAttemptTime:
 		refusal.Reason = "no time is left for another attempt"
 	default:
 		return nil
@@ -375,8 +375,8 @@
 	}
 	_ = r.step(request.StepGiveUp)
 	switch {
-	case r.started:
-		return ErrCut
+	case r.headerSent:
+		return ErrTruncated
 	case !r.mayHaveRun():
 		refusal.Status = http.StatusServiceUnavailable
 	case ctx.Err() != nil:
--- a/internal/forward/metrics.go
+++ b/internal/forward/metrics.go
@@ -8,9 +8,9 @@
 
 // Metrics count the calls of a daemon.
 type Metrics struct {
-	calls *prometheus.CounterVec
-	took  *prometheus.HistogramVec
-	first *prometheus.HistogramVec
+	calls       *prometheus.CounterVec
+	duration    *prometheus.HistogramVec
+	firstAnswer *prometheus.HistogramVec
 	// violations count broken invariants; the program has a fault when there is
 	// one.
 	violations prometheus.Counter
@@ -26,24 +26,24 @@
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "plankridge_calls_total", Help: "Calls by service and outcome.",
 		}, []string{"service", "outcome"}),
-		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "plankridge_call_duration_seconds", Help: "Time from the arrival of a call to its end.", Buckets: latencyBuckets,
 		}, []string{"service", "outcome"}),
-		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		firstAnswer: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "plankridge_call_first_answer_seconds", Help: "Time from the arrival of a call to its first answer or event.", Buckets: latencyBuckets,
 		}, []string{"service"}),
 		violations: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "plankridge_call_invariant_violations_total", Help: "Steps that the life of a call does not have.",
 		}),
 	}
-	registerer.MustRegister(m.calls, m.took, m.first, m.violations)
+	registerer.MustRegister(m.calls, m.duration, m.firstAnswer, m.violations)
 	return m
 }
 
 func (m *Metrics) observe(call *Call, outcome string, took, first time.Duration) {
 	m.calls.WithLabelValues(call.Service, outcome).Inc()
-	m.took.WithLabelValues(call.Service, outcome).Observe(took.Seconds())
+	m.duration.WithLabelValues(call.Service, outcome).Observe(took.Seconds())
 	if first > 0 {
-		m.first.WithLabelValues(call.Service).Observe(first.Seconds())
+		m.firstAnswer.WithLabelValues(call.Service).Observe(first.Seconds())
 	}
 }
--- a/internal/forward/record.go
+++ b/internal/forward/record.go
@@ -9,8 +9,8 @@
 	"github.com/plankridge/plankridge/internal/backend"
 )
 
-// attempted is an attempt as the log shows it, with what it was decided on.
-type attempted struct {
+// attemptRecord is an attempt as the log shows it, with what it was decided on.
+type attemptRecord struct {
 	Server string `json:"server"`
 	Zone   string `json:"zone"`
 	Result string `json:"result"`
@@ -28,16 +28,16 @@
 	Running int   `json:"running"`
 }
 
-func (r *run) note(choice *backend.Choice, what string, begun, ended time.Time) {
-	r.history = append(r.history, attempted{
+func (r *run) recordAttempt(choice *backend.Choice, what string, begun, ended time.Time) {
+	r.history = append(r.history, attemptRecord{
 		Server: choice.ID, Zone: choice.Zone, Result: what,
 		AtMS: begun.Sub(r.call.Arrived).Milliseconds(), TookMS: ended.Sub(begun).Milliseconds(),
 		WaitMS: choice.Wait.Milliseconds(), OwnMS: choice.IdleWait.Milliseconds(), Learned: choice.Calibrated, Unread: choice.PrefillTokens, Running: choice.Running,
 	})
 }
 
-// record writes the line and the metrics of a call that has ended.
-func (r *run) record(ctx context.Context, err error) {
+// recordCall writes the line and the metrics of a call that has ended.
+func (r *run) recordCall(ctx context.Context, err error) {
 	took := time.Since(r.call.Arrived)
 	outcome := "served"
 	status := r.status
@@ -49,16 +49,16 @@
 		if r.mayHaveRun() {
 			outcome = "failed"
 		}
-	case errors.Is(err, ErrCut):
+	case errors.Is(err, ErrTruncated):
 		outcome = "cut"
 	case errors.Is(err, errCallerLeft), ctx.Err() != nil && err != nil:
 		outcome = "caller-left"
 	}
-	r.options.Metrics.observe(r.call, outcome, took, r.first)
+	r.options.Metrics.observe(r.call, outcome, took, r.firstAnswerAfter)
 	serversAge, storeFailing := r.options.Freshness()
 	attrs := []any{
 		"request_id", r.call.ID, "route", r.call.Route.Name, "service", r.call.Service, "workspace", r.call.Workspace,
-		"content", r.content.String(), "outcome", outcome, "status", status, "took_ms", took.Milliseconds(), "first_ms", r.first.Milliseconds(), "age_ms", r.age.Milliseconds(),
+		"content", r.content.String(), "outcome", outcome, "status", status, "took_ms", took.Milliseconds(), "first_ms", r.firstAnswerAfter.Milliseconds(), "age_ms", r.callerAge.Milliseconds(),
 		"attempts", r.history, "allowance_tokens", r.cost, "config_version", r.call.Catalog.Version,
 		"config_age_ms", time.Since(r.call.Catalog.TakenAt).Milliseconds(), "servers_age_ms", serversAge.Milliseconds(), "store_failing", storeFailing,
 	}
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -14,85 +14,85 @@
 )
 
 const (
-	// eventBuffer is the first size of the buffer for events, in bytes; an event
+	// eventBufferSize is the first size of the buffer for events, in bytes; an event
 	// has about 100.
-	eventBuffer = 4 << 10
-	// maxEvent bounds one event, in bytes.
-	maxEvent = 1 << 20
+	eventBufferSize = 4 << 10
+	// maxEventSize bounds one event, in bytes.
+	maxEventSize = 1 << 20
 )
 
 // errEventGap means that an event is missing in a stream.
 var errEventGap = errors.New("an event is missing in the stream")
 
-// stream passes on the events of an answer, whole events only, so that another
+// forwardStream passes on the events of an answer, whole events only, so that another
 // server can go on after the last one.
-func (r *run) stream(ctx context.Context, choice *backend.Choice, answer *Answer) result {
+func (r *run) forwardStream(ctx context.Context, choice *backend.Choice, answer *Answer) result {
 	events := newEventReader(answer.Body)
 	for {
 		event, err := events.next()
 		if errors.Is(err, io.EOF) {
-			return r.streamEnded(answer)
+			return r.endStream(answer)
 		}
 		if err != nil {
-			return r.broken(ctx, "broken-stream")
+			return r.endBroken(ctx, "broken-stream")
 		}
-		if err := r.passEvent(choice, answer, event); err != nil {
-			return r.eventRejected(err)
+		if err := r.forwardEvent(choice, answer, event); err != nil {
+			return r.endEventRejected(err)
 		}
 	}
 }
 
-// eventRejected ends an attempt whose event could not be passed on.
-func (r *run) eventRejected(err error) result {
+// endEventRejected ends an attempt whose event could not be passed on.
+func (r *run) endEventRejected(err error) result {
 	if errors.Is(err, errEventGap) {
-		return r.ended(request.StepLost, backend.OutcomeFailed, "event-gap")
+		return r.endWithStep(request.StepLost, backend.OutcomeFailed, "event-gap")
 	}
-	return r.callerLeft()
+	return r.endCallerLeft()
 }
 
-func (r *run) streamEnded(answer *Answer) result {
-	r.start(answer)
+func (r *run) endStream(answer *Answer) result {
+	r.sendHeader(answer)
 	answer.Exchange.Close()
-	r.survived(time.Now())
+	r.reportCompleted(time.Now())
 	_ = r.step(request.StepAnswer)
-	return result{outcome: backend.OutcomeServed, answered: answeredWell, what: strconv.Itoa(answer.Status), done: true}
+	return result{outcome: backend.OutcomeServed, signal: signalGood, label: strconv.Itoa(answer.Status), done: true}
 }
 
-// passEvent sends one event to the caller. Events that the caller has already
+// forwardEvent sends one event to the caller. Events that the caller has already
 // are dropped.
-func (r *run) passEvent(choice *backend.Choice, answer *Answer, event []byte) error {
+func (r *run) forwardEvent(choice *backend.Choice, answer *Answer, event []byte) error {
 	now := time.Now()
-	if !r.started {
-		r.first = now.Sub(r.call.Arrived)
+	if !r.headerSent {
+		r.firstAnswerAfter = now.Sub(r.call.Arrived)
 	}
-	r.count(now)
+	r.countUsage(now)
 	if err := r.step(request.StepToken); err != nil {
 		return err
 	}
 	choice.RecordEvent(now)
 	id, numbered := eventID(event)
 	if numbered {
-		switch fresh, err := r.follows(id); {
+		switch fresh, err := r.isNewEvent(id); {
 		case err != nil:
 			return err
 		case !fresh:
 			return nil
 		}
 	}
-	r.start(answer)
+	r.sendHeader(answer)
 	if err := r.reply.Write(event); err != nil {
 		return errCallerLeft
 	}
 	if numbered {
-		r.after = strconv.Itoa(id)
+		r.lastEventID = strconv.Itoa(id)
 	}
 	return nil
 }
 
-// follows reports whether an event is new to the caller. It fails when an event
+// isNewEvent reports whether an event is new to the caller. It fails when an event
 // between the last one and this one is missing.
-func (r *run) follows(id int) (bool, error) {
-	last, err := strconv.Atoi(r.after)
+func (r *run) isNewEvent(id int) (bool, error) {
+	last, err := strconv.Atoi(r.lastEventID)
 	if err != nil {
 		// The first event of a stream: there is nothing that it must follow.
 		return true, nil
@@ -124,7 +124,7 @@
 
 func newEventReader(body io.Reader) *eventReader {
 	r := &eventReader{scanner: bufio.NewScanner(body)}
-	r.scanner.Buffer(make([]byte, 0, eventBuffer), maxEvent)
+	r.scanner.Buffer(make([]byte, 0, eventBufferSize), maxEventSize)
 	r.scanner.Split(splitEvents)
 	return r
 }
--- a/internal/forward/version.go
+++ b/internal/forward/version.go
@@ -13,8 +13,8 @@
 // versionSalt keeps the draw of a version apart from the draw of servers.
 const versionSalt = "version|"
 
-// tryVersion decides whether the first attempt goes to the version that a roll-out tries.
-func (r *run) tryVersion() {
+// chooseVersion decides whether the first attempt goes to the version that a roll-out tries.
+func (r *run) chooseVersion() {
 	if r.options.RollOuts == nil {
 		return
 	}
@@ -22,21 +22,21 @@
 	r.candidate = r.options.RollOuts.Asked(r.call.Service, r.call.Route.Name, !r.call.Route.MayRepeat(), draw, time.Now())
 }
 
-// tryAgain decides the same for a later attempt: it goes where the version is known, unless
+// chooseRetryVersion decides the same for a later attempt: it goes where the version is known, unless
 // all requests have moved on.
-func (r *run) tryAgain() {
+func (r *run) chooseRetryVersion() {
 	if r.options.RollOuts != nil {
 		r.candidate = r.options.RollOuts.Moved(r.call.Service, time.Now())
 	}
 }
 
-// judge tells how a server answered, for the comparison of versions.
-func (r *run) judge(choice *backend.Choice, ended result, took time.Duration) {
-	if r.options.RollOuts == nil || ended.answered == answeredNothing {
+// reportToRollOut tells how a server answered, for the comparison of versions.
+func (r *run) reportToRollOut(choice *backend.Choice, ended result, took time.Duration) {
+	if r.options.RollOuts == nil || ended.signal == signalNone {
 		return
 	}
 	answer := rollout.Answer{
-		Service: r.call.Service, Route: r.call.Route.Name, Failed: ended.answered == answeredBadly, Took: took,
+		Service: r.call.Service, Route: r.call.Route.Name, Failed: ended.signal == signalBad, Took: took,
 	}
 	if choice.Candidate {
 		answer.Server = max(1, backend.KeyOf(choice.Entry))
--- a/internal/keys/committer.go
+++ b/internal/keys/committer.go
@@ -20,10 +20,10 @@
 const writesPerSecond = 300
 
 const (
-	// commitRetry is the pause after a failed write.
-	commitRetry = 500 * time.Millisecond
-	// maxBatch bounds the bytes of a batch, below the platform's limit.
-	maxBatch = 512 << 10
+	// commitRetryDelay is the pause after a failed write.
+	commitRetryDelay = 500 * time.Millisecond
+	// maxBatchBytes bounds the bytes of a batch, below the platform's limit.
+	maxBatchBytes = 512 << 10
 )
 
 // Committer writes records to the log in batches: while one write is under
@@ -34,12 +34,12 @@
 	// name is unique among all processes that ever write.
 	name string
 
-	mu       sync.Mutex
-	interval time.Duration
-	queue    []*pending
-	writing  []*pending
-	batch    int
-	wake     chan struct{}
+	mu          sync.Mutex
+	interval    time.Duration
+	queue       []*pending
+	writing     []*pending
+	batchNumber int
+	wake        chan struct{}
 }
 
 // pending is a record on its way to the log.
@@ -99,16 +99,16 @@
 		case <-ctx.Done():
 			return
 		}
-		for c.take() {
-			if !c.write(ctx) {
+		for c.takeBatch() {
+			if !c.writeBatch(ctx) {
 				return
 			}
 		}
 	}
 }
 
-// take moves the queue's head into the batch to write.
-func (c *Committer) take() bool {
+// takeBatch moves the queue's head into the batch to write.
+func (c *Committer) takeBatch() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	size, count := 0, 0
@@ -125,15 +125,15 @@
 // belongs to one availability zone.
 func (c *Committer) fits(index, size int) bool {
 	p := c.queue[index]
-	return size+p.size <= maxBatch && p.record.Ref.Zone == c.queue[0].record.Ref.Zone
+	return size+p.size <= maxBatchBytes && p.record.Ref.Zone == c.queue[0].record.Ref.Zone
 }
 
-// write writes the batch, trying until the log has it. A write whose answer
+// writeBatch writes the batch, trying until the log has it. A write whose answer
 // was lost is repeated under the same name: a conflict means that it is there.
-func (c *Committer) write(ctx context.Context) bool {
+func (c *Committer) writeBatch(ctx context.Context) bool {
 	c.mu.Lock()
-	c.batch++
-	name := fmt.Sprintf("%s%s/%06d", hourPrefix(c.writing[0].record.Ref.Zone, time.Now()), c.name, c.batch)
+	c.batchNumber++
+	name := fmt.Sprintf("%s%s/%06d", hourPrefix(c.writing[0].record.Ref.Zone, time.Now()), c.name, c.batchNumber)
 	records := make([]Record, len(c.writing))
 	for i, p := range c.writing {
 		records[i] = p.record
@@ -150,7 +150,7 @@
 			break
 		}
 		c.logger.Warn("log of keys cannot be written", "error", err)
-		if !pause(ctx, commitRetry) {
+		if !pause(ctx, commitRetryDelay) {
 			return false
 		}
 	}
--- a/internal/keys/homes.go
+++ b/internal/keys/homes.go
@@ -15,13 +15,13 @@
 type Holder struct {
 	Daemon      string `json:"daemon,omitempty"`
 	Incarnation uint64 `json:"incarnation,omitempty"`
-	// Listed is a revision of the VM list that shows the daemon's VM. Only who
+	// ListedRevision is a revision of the VM list that shows the daemon's VM. Only who
 	// has read the list up to there can tell its death by its absence.
-	Listed int64 `json:"listed,omitempty"`
+	ListedRevision int64 `json:"listed,omitempty"`
 }
 
-// is reports whether both are the same process.
-func (h Holder) is(other Holder) bool {
+// sameProcess reports whether both are the same process.
+func (h Holder) sameProcess(other Holder) bool {
 	return h.Daemon == other.Daemon && h.Incarnation == other.Incarnation
 }
 
@@ -44,10 +44,10 @@
 
 // Enrol returns the homes with a process enrolled, and whether that is a change.
 func (h *Homes) Enrol(zone string, self Holder) (*Homes, bool) {
-	if h.Enrolled[self.Daemon].is(self) {
+	if h.Enrolled[self.Daemon].sameProcess(self) {
 		return h, false
 	}
-	next := h.clone(zone)
+	next := h.cloneWithZone(zone)
 	next.Enrolled[self.Daemon] = Member{Holder: self, Zone: zone}
 	return next, true
 }
@@ -61,8 +61,8 @@
 	return slots[slot]
 }
 
-// clone returns a copy with all slots of the zone present.
-func (h *Homes) clone(zone string) *Homes {
+// cloneWithZone returns a copy with all slots of the zone present.
+func (h *Homes) cloneWithZone(zone string) *Homes {
 	next := &Homes{Zones: map[string][]Holder{}, Enrolled: map[string]Member{}}
 	maps.Copy(next.Enrolled, h.Enrolled)
 	for name, slots := range h.Zones {
@@ -74,11 +74,11 @@
 	return next
 }
 
-// Free returns the number of slots of a zone that nobody holds, or whose holder
+// FreeSlots returns the number of slots of a zone that nobody holds, or whose holder
 // is proved dead. Silence of a holder frees nothing.
-func (h *Homes) Free(zone string, dead func(Holder) bool) int {
+func (h *Homes) FreeSlots(zone string, dead func(Holder) bool) int {
 	free := 0
-	for _, holder := range h.clone(zone).Zones[zone] {
+	for _, holder := range h.cloneWithZone(zone).Zones[zone] {
 		if holder == (Holder{}) || dead(holder) {
 			free++
 		}
@@ -91,11 +91,11 @@
 // when it is eager. The rank only spreads the slots; the conditional update of
 // the homes decides who gets one.
 func (h *Homes) Claim(zone string, self Holder, members []string, dead func(Holder) bool, eager bool) (*Homes, bool) {
-	next := h.clone(zone)
+	next := h.cloneWithZone(zone)
 	claimed := false
 	for slot, holder := range next.Zones[zone] {
-		free := holder == Holder{} || (!holder.is(self) && dead(holder))
-		if free && (eager || first(zone, slot, members) == self.Daemon) {
+		free := holder == Holder{} || (!holder.sameProcess(self) && dead(holder))
+		if free && (eager || highestRanked(zone, slot, members) == self.Daemon) {
 			next.Zones[zone][slot] = self
 			claimed = true
 		}
@@ -105,11 +105,11 @@
 
 // Release returns the homes in which self holds nothing and is not enrolled.
 func (h *Homes) Release(zone string, self Holder) *Homes {
-	next := h.clone(zone)
+	next := h.cloneWithZone(zone)
 	delete(next.Enrolled, self.Daemon)
 	for zone, slots := range h.Zones {
 		for slot, holder := range slots {
-			if holder.is(self) {
+			if holder.sameProcess(self) {
 				next.Zones[zone][slot] = Holder{}
 			}
 		}
@@ -123,12 +123,12 @@
 	Slot int
 }
 
-// Held returns the places that self holds.
-func (h *Homes) Held(self Holder) []Home {
+// HeldBy returns the places that self holds.
+func (h *Homes) HeldBy(self Holder) []Home {
 	var held []Home
 	for zone, slots := range h.Zones {
 		for slot, holder := range slots {
-			if holder.is(self) {
+			if holder.sameProcess(self) {
 				held = append(held, Home{Zone: zone, Slot: slot})
 			}
 		}
@@ -143,20 +143,20 @@
 
 // Writers returns the members of a zone that hold its slots.
 func Writers(zone string, members []string) []string {
-	ranked := rank(zone, members)
+	ranked := rankByHash(zone, members)
 	return ranked[:min(writersPerZone, len(ranked))]
 }
 
-// first returns the member that ranks first for a slot.
-func first(zone string, slot int, members []string) string {
+// highestRanked returns the member that ranks first for a slot.
+func highestRanked(zone string, slot int, members []string) string {
 	if len(members) == 0 {
 		return ""
 	}
-	return rank(fmt.Sprint(zone, "/", slot), members)[0]
+	return rankByHash(fmt.Sprint(zone, "/", slot), members)[0]
 }
 
-// rank orders members by the hash of each with a key.
-func rank(key string, members []string) []string {
+// rankByHash orders members by the hash of each with a key.
+func rankByHash(key string, members []string) []string {
 	ranked := slices.Clone(members)
 	weight := func(member string) uint64 { return xxhash.Sum64String(key + "/" + member) }
 	slices.SortFunc(ranked, func(a, b string) int { return cmp.Compare(weight(b), weight(a)) })
@@ -165,5 +165,5 @@
 
 // Owner returns the holder as an owner of requests.
 func (h Holder) Owner() backup.Owner {
-	return backup.Owner{Daemon: h.Daemon, Incarnation: h.Incarnation, Listed: h.Listed}
+	return backup.Owner{Daemon: h.Daemon, Incarnation: h.Incarnation, ListedRevision: h.ListedRevision}
 }
--- a/internal/keys/key.go
+++ b/internal/keys/key.go
@@ -23,8 +23,8 @@
 // daemons: 4 slots in 7 zones are at most 28 writers.
 const SlotsPerZone = 4
 
-// MaxKey is the longest key that is accepted, in bytes.
-const MaxKey = 255
+// MaxKeyBytes is the longest key that is accepted, in bytes.
+const MaxKeyBytes = 255
 
 // Ref names a key.
 type Ref = request.KeyRef
@@ -43,7 +43,7 @@
 		Zone:        zone,
 		Slot:        int(xxhash.Sum64String(hash) % SlotsPerZone),
 		Hash:        hash,
-		Fingerprint: digest(method, string(canonical(body))),
+		Fingerprint: digest(method, string(canonicalJSON(body))),
 	}
 }
 
@@ -59,10 +59,10 @@
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// canonical writes a JSON body with sorted members and without white space, so
+// canonicalJSON writes a JSON body with sorted members and without white space, so
 // that a client that encodes the same request anew has the same fingerprint.
 // Another body stays as it is.
-func canonical(body []byte) []byte {
+func canonicalJSON(body []byte) []byte {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.UseNumber()
 	var value any
@@ -85,8 +85,8 @@
 	return d.Zones[xxhash.Sum64String(workspace.Name)%uint64(len(d.Zones))].Name
 }
 
-// Path returns the path of a call without its query.
-func Path(path string) string {
+// PathWithoutQuery returns the path of a call without its query.
+func PathWithoutQuery(path string) string {
 	path, _, _ = strings.Cut(path, "?")
 	return path
 }
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -23,7 +23,7 @@
 // Randomised tests take a fixed seed unless the command line gives another.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-func TestRefSeparatesAndJoins(t *testing.T) {
+func TestRefIdentifiesRequest(t *testing.T) {
 	c := qt.New(t)
 	scope := Scope{Workspace: "w", Service: "s", Path: "/orders"}
 	ref := func(scope Scope, key, body string) Ref {
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestSlotsMoveOnProofOnly lets processes look at homes in any order.
-func TestSlotsMoveOnProofOnly(t *testing.T) {
+// TestSlotsMoveOnlyFromDeadHolders lets processes look at homes in any order.
+func TestSlotsMoveOnlyFromDeadHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		homes := &Homes{}
 		members := []string{"a", "b", "c"}
@@ -77,9 +77,9 @@
 			record := Record{Ref: Ref{Hash: "k"}, RequestID: request.ID(fmt.Sprint(i)), At: time.Unix(int64(-10*i), 0), Turn: i + 1}
 			record.State = StateIntent
 			records = append(records, record)
-			record.State = StateVoid
+			record.State = StateNotRun
 			if i == count-1 {
-				record.State = rapid.SampledFrom([]State{StateIntent, StateDone, StateVoid, StateUnknown}).Draw(t, "end")
+				record.State = rapid.SampledFrom([]State{StateIntent, StateDone, StateNotRun, StateUnknown}).Draw(t, "end")
 			}
 			record.At = record.At.Add(time.Second)
 			records = append(records, record)
@@ -126,7 +126,7 @@
 	return store.Value{}, nil
 }
 
-func TestCommitterBringsEveryRecordOnce(t *testing.T) {
+func TestCommitterWritesEveryRecordOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		store := &flakyStore{written: map[string][]byte{}}
--- a/internal/keys/manager.go
+++ b/internal/keys/manager.go
@@ -24,13 +24,13 @@
 const (
 	// watchWait is how long one watch call waits.
 	watchWait = 30 * time.Second
-	// checkInterval is the time between two looks for free slots.
-	checkInterval = 2 * time.Second
-	// commitPatience is how long an intent may take to reach the log before a
+	// claimInterval is the time between two looks for free slots.
+	claimInterval = 2 * time.Second
+	// commitTimeout is how long an intent may take to reach the log before a
 	// peer is asked to keep it.
-	commitPatience = 500 * time.Millisecond
-	// cleanInterval is the time between two removals of old batches.
-	cleanInterval = time.Hour
+	commitTimeout = 500 * time.Millisecond
+	// cleanupInterval is the time between two removals of old batches.
+	cleanupInterval = time.Hour
 )
 
 // ErrNotKept means that neither the log nor a peer took an intent.
@@ -47,18 +47,18 @@
 	VerdictInFlight Verdict = "in-flight"
 	// VerdictReplay means that the key's request has the answer given.
 	VerdictReplay Verdict = "replay"
-	// VerdictGone means that the key's request has run but its answer was too
+	// VerdictAnswerNotKept means that the key's request has run but its answer was too
 	// large to keep.
-	VerdictGone Verdict = "gone"
+	VerdictAnswerNotKept Verdict = "gone"
 	// VerdictMismatch means that the key was used for another request.
 	VerdictMismatch Verdict = "mismatch"
 	// VerdictUnknown means that the key's request may have run.
 	VerdictUnknown Verdict = "unknown"
 	// VerdictRefused means that nothing has run with this key.
 	VerdictRefused Verdict = "refused"
-	// VerdictAway means that the home of the key could not be asked. This
+	// VerdictHomeUnreachable means that the home of the key could not be asked. This
 	// request has not run, but an earlier one with the key may have.
-	VerdictAway Verdict = "away"
+	VerdictHomeUnreachable Verdict = "away"
 )
 
 // Result is the answer to a request with a key.
@@ -69,9 +69,9 @@
 	Refusal   *dispatch.Refusal    `json:"refusal,omitempty"`
 }
 
-// Away returns the result of a request whose key's home could not be asked.
-func Away(detail string) Result {
-	return Result{Verdict: VerdictAway, Refusal: &dispatch.Refusal{
+// HomeUnreachable returns the result of a request whose key's home could not be asked.
+func HomeUnreachable(detail string) Result {
+	return Result{Verdict: VerdictHomeUnreachable, Refusal: &dispatch.Refusal{
 		Status: http.StatusServiceUnavailable, Detail: detail, RetryAfter: time.Second,
 	}}
 }
@@ -113,18 +113,18 @@
 
 // Manager holds the slots that fall to a daemon and runs their requests.
 type Manager struct {
-	options   Options
-	committer *Committer
-	ledger    *Ledger
-	held      prometheus.Gauge
-	byPeers   prometheus.Counter
-
-	// looks counts the looks at which a zone had free slots; only Run uses it.
-	looks map[string]int
-
-	mu      sync.Mutex
-	homes   *Homes
-	version int64
+	options     Options
+	committer   *Committer
+	ledger      *Ledger
+	slotsHeld   prometheus.Gauge
+	keptByPeers prometheus.Counter
+
+	// freeChecks counts the looks at which a zone had free slots; only Run uses it.
+	freeChecks map[string]int
+
+	mu           sync.Mutex
+	homes        *Homes
+	homesVersion int64
 	// serving are the homes whose keys this daemon knows in full.
 	serving map[Home]bool
 	// starting are requests whose keys are taken and which the dispatcher is
@@ -136,26 +136,26 @@
 // NewManager returns a manager that holds nothing yet.
 func NewManager(options Options) *Manager {
 	m := &Manager{
-		options:   options,
-		committer: NewCommitter(options.Store, name(options.Self), options.Logger),
-		ledger:    NewLedger(),
-		homes:     &Homes{},
-		serving:   map[Home]bool{},
-		starting:  map[request.ID]bool{},
-		looks:     map[string]int{},
-		held: prometheus.NewGauge(prometheus.GaugeOpts{
+		options:    options,
+		committer:  NewCommitter(options.Store, processName(options.Self), options.Logger),
+		ledger:     NewLedger(),
+		homes:      &Homes{},
+		serving:    map[Home]bool{},
+		starting:   map[request.ID]bool{},
+		freeChecks: map[string]int{},
+		slotsHeld: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "plankridge_key_slots_held", Help: "Slots of idempotency keys that this daemon serves.",
 		}),
-		byPeers: prometheus.NewCounter(prometheus.CounterOpts{
+		keptByPeers: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "plankridge_keys_kept_by_peers_total", Help: "Intents kept by a peer because the Object API did not take them in time.",
 		}),
 	}
-	options.Registerer.MustRegister(m.held, m.byPeers)
+	options.Registerer.MustRegister(m.slotsHeld, m.keptByPeers)
 	return m
 }
 
-// name is unique among all processes.
-func name(self Holder) string {
+// processName is unique among all processes.
+func processName(self Holder) string {
 	raw, _ := json.Marshal(self.Incarnation)
 	return self.Daemon + "-" + string(raw)
 }
@@ -165,50 +165,50 @@
 func (m *Manager) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { m.committer.Run(ctx) })
-	loops.Go(func() { m.follow(ctx) })
-	loops.Go(func() { m.clean(ctx) })
+	loops.Go(func() { m.watchHomes(ctx) })
+	loops.Go(func() { m.removeOldBatches(ctx) })
 	for {
-		m.claim(ctx)
-		if !pause(ctx, checkInterval) {
+		m.claimSlots(ctx)
+		if !pause(ctx, claimInterval) {
 			break
 		}
 	}
 	loops.Wait()
 }
 
-func (m *Manager) follow(ctx context.Context) {
+func (m *Manager) watchHomes(ctx context.Context) {
 	for ctx.Err() == nil {
-		object, err := m.options.Store.Watch(ctx, homesKey, m.seen(), watchWait)
+		object, err := m.options.Store.Watch(ctx, homesKey, m.knownVersion(), watchWait)
 		if errors.Is(err, store.ErrUnchanged) {
 			continue
 		}
 		if err == nil {
-			err = m.takeOver(object)
+			err = m.applyHomes(object)
 		}
 		if err != nil {
-			pause(ctx, checkInterval)
+			pause(ctx, claimInterval)
 		}
 	}
 }
 
-func (m *Manager) seen() int64 {
+func (m *Manager) knownVersion() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.version
+	return m.homesVersion
 }
 
-// takeOver puts a newer version of the homes in force.
-func (m *Manager) takeOver(object store.Value) error {
+// applyHomes puts a newer version of the homes in force.
+func (m *Manager) applyHomes(object store.Value) error {
 	homes := &Homes{}
 	if err := json.Unmarshal(object.Data, homes); err != nil {
 		return eris.Wrap(err, "decode homes of keys")
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if object.Version <= m.version {
+	if object.Version <= m.homesVersion {
 		return nil
 	}
-	m.homes, m.version = homes, object.Version
+	m.homes, m.homesVersion = homes, object.Version
 	writers := map[Holder]bool{}
 	for _, slots := range homes.Zones {
 		for _, holder := range slots {
@@ -219,37 +219,37 @@
 	return nil
 }
 
-// claim takes the free slots that fall to this daemon, and serves those that
+// claimSlots takes the free slots that fall to this daemon, and serves those that
 // it holds once it knows their keys.
-func (m *Manager) claim(ctx context.Context) {
+func (m *Manager) claimSlots(ctx context.Context) {
 	m.mu.Lock()
-	homes, version, leaving := m.homes, m.version, m.leaving
+	homes, version, leaving := m.homes, m.homesVersion, m.leaving
 	m.mu.Unlock()
 	listed, ok := m.options.Peers.SelfListed()
 	if leaving || !ok {
 		return
 	}
 	self := m.options.Self
-	self.Listed = listed
-	next, changed := m.wanted(homes, self)
-	if changed && !m.put(ctx, next, version) {
+	self.ListedRevision = listed
+	next, changed := m.desiredHomes(homes, self)
+	if changed && !m.putHomes(ctx, next, version) {
 		return
 	}
-	for zone, slots := range m.unserved() {
-		m.serve(ctx, zone, slots)
+	for zone, slots := range m.unservedSlots() {
+		m.loadSlots(ctx, zone, slots)
 	}
 }
 
-// wanted returns the homes with what this daemon should hold, and whether that
+// desiredHomes returns the homes with what this daemon should hold, and whether that
 // is a change. A daemon that is not among its zone's writers stays out of them
 // unless slots have been free for long.
-func (m *Manager) wanted(homes *Homes, self Holder) (*Homes, bool) {
+func (m *Manager) desiredHomes(homes *Homes, self Holder) (*Homes, bool) {
 	zones := m.options.Peers.Zones()
 	next, claims := homes, 0
 	for zone, members := range zones {
 		var claimed bool
 		writers := Writers(zone, members)
-		next, claimed = next.Claim(zone, self, writers, m.options.Peers.Dead, m.waited(homes, zone))
+		next, claimed = next.Claim(zone, self, writers, m.options.Peers.Dead, m.freeForLong(homes, zone))
 		if claimed {
 			claims++
 		}
@@ -261,26 +261,26 @@
 	return next, enrolling || claims > 0
 }
 
-// eagerAfter is the number of looks after which a daemon takes a free slot that
+// eagerAfterChecks is the number of looks after which a daemon takes a free slot that
 // falls to another one, which may be about to start or to go.
-const eagerAfter = 3
+const eagerAfterChecks = 3
 
-// waited reports whether slots of a zone have been free for several looks.
-func (m *Manager) waited(homes *Homes, zone string) bool {
-	if homes.Free(zone, m.options.Peers.Dead) == 0 {
-		delete(m.looks, zone)
+// freeForLong reports whether slots of a zone have been free for several looks.
+func (m *Manager) freeForLong(homes *Homes, zone string) bool {
+	if homes.FreeSlots(zone, m.options.Peers.Dead) == 0 {
+		delete(m.freeChecks, zone)
 		return false
 	}
-	m.looks[zone]++
-	return m.looks[zone] > eagerAfter
+	m.freeChecks[zone]++
+	return m.freeChecks[zone] > eagerAfterChecks
 }
 
-// unserved returns the slots that are held and not served yet, by zone.
-func (m *Manager) unserved() map[string][]int {
+// unservedSlots returns the slots that are held and not served yet, by zone.
+func (m *Manager) unservedSlots() map[string][]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	missing := map[string][]int{}
-	for _, home := range m.homes.Held(m.options.Self) {
+	for _, home := range m.homes.HeldBy(m.options.Self) {
 		if !m.serving[home] {
 			missing[home.Zone] = append(missing[home.Zone], home.Slot)
 		}
@@ -288,9 +288,9 @@
 	return missing
 }
 
-// put writes the homes. After an error the next look decides anew: the slots
+// putHomes writes the homes. After an error the next look decides anew: the slots
 // are served only once they have been read back.
-func (m *Manager) put(ctx context.Context, next *Homes, version int64) bool {
+func (m *Manager) putHomes(ctx context.Context, next *Homes, version int64) bool {
 	raw, err := json.Marshal(next)
 	if err != nil {
 		panic("keys: homes do not encode: " + err.Error())
@@ -300,7 +300,7 @@
 		return false
 	}
 	object.Data = raw
-	return m.takeOver(object) == nil
+	return m.applyHomes(object) == nil
 }
 
 // Release gives all slots back. It is called when no request with a key runs
@@ -309,7 +309,7 @@
 	m.mu.Lock()
 	m.leaving = true
 	m.serving = map[Home]bool{}
-	m.held.Set(0)
+	m.slotsHeld.Set(0)
 	m.mu.Unlock()
 	for _, record := range m.committer.Pending() {
 		select {
@@ -320,9 +320,9 @@
 	}
 	for ctx.Err() == nil {
 		m.mu.Lock()
-		homes, version := m.homes, m.version
+		homes, version := m.homes, m.homesVersion
 		m.mu.Unlock()
-		if !homes.Enrolled[m.options.Self.Daemon].is(m.options.Self) || m.put(ctx, homes.Release(m.options.Zone, m.options.Self), version) {
+		if !homes.Enrolled[m.options.Self.Daemon].sameProcess(m.options.Self) || m.putHomes(ctx, homes.Release(m.options.Zone, m.options.Self), version) {
 			return
 		}
 		pause(ctx, 100*time.Millisecond)
@@ -348,7 +348,7 @@
 // KeepForPeer takes records that another daemon could not bring to the log.
 func (m *Manager) KeepForPeer(records []Record) error {
 	m.mu.Lock()
-	ready := !m.leaving && m.homes.Enrolled[m.options.Self.Daemon].is(m.options.Self)
+	ready := !m.leaving && m.homes.Enrolled[m.options.Self.Daemon].sameProcess(m.options.Self)
 	m.mu.Unlock()
 	if !ready {
 		return ErrNotEnrolled
--- a/internal/keys/record.go
+++ b/internal/keys/record.go
@@ -17,8 +17,8 @@
 	StateIntent State = "intent"
 	// StateDone means that it has run and has an answer.
 	StateDone State = "done"
-	// StateVoid means that it has not run and may be sent again.
-	StateVoid State = "void"
+	// StateNotRun means that it has not run and may be sent again.
+	StateNotRun State = "void"
 	// StateUnknown means that it may have run and that its answer is lost.
 	StateUnknown State = "unknown"
 )
@@ -41,8 +41,8 @@
 // published in the callers' page.
 const Retention = 24 * time.Hour
 
-// MaxAnswer is the largest answer that is kept with its key, in bytes.
-const MaxAnswer = 64 << 10
+// MaxAnswerBytes is the largest answer that is kept with its key, in bytes.
+const MaxAnswerBytes = 64 << 10
 
 // ErrFull means that no more keys can be remembered. A key is never forgotten
 // early to make room.
@@ -86,12 +86,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	present, known := l.records[record.Ref.Hash]
-	if known && present.State != StateVoid && record.At.Sub(present.At) < Retention {
+	if known && present.State != StateNotRun && record.At.Sub(present.At) < Retention {
 		return present, false, nil
 	}
 	record.Turn = present.Turn + 1
 	if !known && len(l.records) >= maxRecords {
-		l.forget(record.At)
+		l.dropExpired(record.At)
 		if len(l.records) >= maxRecords {
 			return Record{}, false, ErrFull
 		}
@@ -100,8 +100,8 @@
 	return record, true, nil
 }
 
-// forget drops what is older than the retention.
-func (l *Ledger) forget(now time.Time) {
+// dropExpired drops what is older than the retention.
+func (l *Ledger) dropExpired(now time.Time) {
 	for hash, record := range l.records {
 		if now.Sub(record.At) >= Retention {
 			delete(l.records, hash)
@@ -109,9 +109,9 @@
 	}
 }
 
-// Again enters an intent in the place of a record that was read before. It
+// Replace enters an intent in the place of a record that was read before. It
 // reports false when another has come between.
-func (l *Ledger) Again(old, next Record) (Record, bool) {
+func (l *Ledger) Replace(old, next Record) (Record, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	present := l.records[old.Ref.Hash]
--- a/internal/keys/serve.go
+++ b/internal/keys/serve.go
@@ -9,11 +9,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// serve reads the keys of slots that are held from now on: from the log, and
+// loadSlots reads the keys of slots that are held from now on: from the log, and
 // from the daemons of the zone that still have to bring some to it. Their
 // former holder is dead or has released them, so no other source remains.
-func (m *Manager) serve(ctx context.Context, zone string, slots []int) {
-	records, err := m.collect(ctx, zone)
+func (m *Manager) loadSlots(ctx context.Context, zone string, slots []int) {
+	records, err := m.collectPending(ctx, zone)
 	if err != nil {
 		m.options.Logger.Warn("keys of a slot are not complete yet", "error", err)
 		return
@@ -31,23 +31,23 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, slot := range slots {
-		if m.homes.Holder(zone, slot).is(m.options.Self) && !m.leaving {
+		if m.homes.Holder(zone, slot).sameProcess(m.options.Self) && !m.leaving {
 			m.serving[Home{Zone: zone, Slot: slot}] = true
 		}
 	}
-	m.held.Set(float64(len(m.serving)))
+	m.slotsHeld.Set(float64(len(m.serving)))
 	m.options.Logger.Info("slots of keys are served", "home", zone, "slots", slots, "keys", m.ledger.Len())
 }
 
-// collect returns what the living processes of a zone still have to bring to
+// collectPending returns what the living processes of a zone still have to bring to
 // the log.
-func (m *Manager) collect(ctx context.Context, zone string) ([]Record, error) {
+func (m *Manager) collectPending(ctx context.Context, zone string) ([]Record, error) {
 	m.mu.Lock()
 	homes := m.homes
 	m.mu.Unlock()
 	records := m.committer.Pending()
 	for _, member := range homes.Enrolled {
-		if member.Zone != zone || member.is(m.options.Self) || m.options.Peers.Dead(member.Holder) {
+		if member.Zone != zone || member.sameProcess(m.options.Self) || m.options.Peers.Dead(member.Holder) {
 			continue
 		}
 		pending, err := m.options.Peers.Collect(ctx, member.Holder)
@@ -79,11 +79,11 @@
 	return records, nil
 }
 
-// clean removes the batches that are older than the retention. The holder of
+// removeOldBatches removes the batches that are older than the retention. The holder of
 // the zone's first slot does it.
-func (m *Manager) clean(ctx context.Context) {
-	for pause(ctx, cleanInterval) {
-		if !m.serves(m.options.Zone, 0) {
+func (m *Manager) removeOldBatches(ctx context.Context) {
+	for pause(ctx, cleanupInterval) {
+		if !m.isServing(m.options.Zone, 0) {
 			continue
 		}
 		objects, err := m.options.Store.List(ctx, hourPrefix(m.options.Zone, time.Now().Add(-Retention-2*time.Hour)))
@@ -96,7 +96,7 @@
 	}
 }
 
-func (m *Manager) serves(zone string, slot int) bool {
+func (m *Manager) isServing(zone string, slot int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.serving[Home{Zone: zone, Slot: slot}]
--- a/internal/keys/starting_test.go
+++ b/internal/keys/starting_test.go
@@ -10,11 +10,11 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// nowhere is a deployment in which no request is found.
-type nowhere struct{ Peers }
+// noRequestPeers is a deployment in which no request is found.
+type noRequestPeers struct{ Peers }
 
 // Locate implements Peers.
-func (nowhere) Locate(context.Context, request.ID) (dispatch.Source, error) {
+func (noRequestPeers) Locate(context.Context, request.ID) (dispatch.Source, error) {
 	return nil, dispatch.ErrNotFound
 }
 
@@ -23,7 +23,7 @@
 // is told that it has not ended, not that its fate is unknown.
 func TestKeyOfStartingRequestIsInFlight(t *testing.T) {
 	c := qt.New(t)
-	m := &Manager{options: Options{Peers: nowhere{}}, starting: map[request.ID]bool{}}
+	m := &Manager{options: Options{Peers: noRequestPeers{}}, starting: map[request.ID]bool{}}
 	spec := request.Spec{Kind: request.KindPlain, Key: &request.Key{}}
 	present := Record{RequestID: "first", State: StateIntent}
 	m.markStarting("first")
--- a/internal/keys/submit.go
+++ b/internal/keys/submit.go
@@ -14,14 +14,14 @@
 // It forwards to the holder of the key when that is another daemon.
 func (m *Manager) Submit(ctx context.Context, spec request.Spec) (Result, error) {
 	ref := spec.Key.KeyRef
-	if m.serves(ref.Zone, ref.Slot) {
+	if m.isServing(ref.Zone, ref.Slot) {
 		return m.SubmitHere(ctx, spec), nil
 	}
 	m.mu.Lock()
 	holder := m.homes.Holder(ref.Zone, ref.Slot)
 	m.mu.Unlock()
-	if holder == (Holder{}) || holder.is(m.options.Self) {
-		return Away("the home of this key is being taken over"), nil
+	if holder == (Holder{}) || holder.sameProcess(m.options.Self) {
+		return HomeUnreachable("the home of this key is being taken over"), nil
 	}
 	return m.options.Peers.Forward(ctx, holder, spec)
 }
@@ -29,8 +29,8 @@
 // SubmitHere runs a request whose key this daemon holds.
 func (m *Manager) SubmitHere(ctx context.Context, spec request.Spec) Result {
 	ref := spec.Key.KeyRef
-	if !m.serves(ref.Zone, ref.Slot) {
-		return Away("the home of this key has moved")
+	if !m.isServing(ref.Zone, ref.Slot) {
+		return HomeUnreachable("the home of this key has moved")
 	}
 	spec.ID = m.options.Dispatcher.NewID()
 	m.markStarting(spec.ID)
@@ -43,9 +43,9 @@
 		}}
 	}
 	if begun {
-		return m.run(spec, present)
+		return m.accept(spec, present)
 	}
-	return m.repeated(ctx, spec, present, intent)
+	return m.answerRepeated(ctx, spec, present, intent)
 }
 
 func (m *Manager) markStarting(id request.ID) {
@@ -66,30 +66,30 @@
 	return m.starting[id]
 }
 
-// run accepts a request whose key is free. The intent is recorded before the
+// accept accepts a request whose key is free. The intent is recorded before the
 // first attempt begins.
-func (m *Manager) run(spec request.Spec, intent Record) Result {
+func (m *Manager) accept(spec request.Spec, intent Record) Result {
 	key := *spec.Key
 	key.Turn = intent.Turn
 	spec.Key = &key
 	flight, refusal := m.options.Dispatcher.SubmitPrepared(spec, func(ctx context.Context) error {
-		return m.record(ctx, intent)
+		return m.recordIntent(ctx, intent)
 	})
 	if refusal != nil {
-		m.ledger.Apply(ended(intent, StateVoid, nil))
+		m.ledger.Apply(endRecord(intent, StateNotRun, nil))
 		return Result{Verdict: VerdictRefused, Refusal: refusal}
 	}
 	return Result{Verdict: VerdictRun, RequestID: flight.ID()}
 }
 
-// record brings an intent to the log or, when the Object API does not take it
+// recordIntent brings an intent to the log or, when the Object API does not take it
 // in time, to a peer that will.
-func (m *Manager) record(ctx context.Context, intent Record) error {
+func (m *Manager) recordIntent(ctx context.Context, intent Record) error {
 	logged := m.committer.Append(intent)
 	select {
 	case <-logged:
 		return nil
-	case <-time.After(commitPatience):
+	case <-time.After(commitTimeout):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -97,12 +97,12 @@
 		m.options.Logger.Warn("intent is kept nowhere", "request_id", intent.RequestID, "error", err)
 		return ErrNotKept
 	}
-	m.byPeers.Inc()
+	m.keptByPeers.Inc()
 	return nil
 }
 
-// repeated answers a request whose key is taken.
-func (m *Manager) repeated(ctx context.Context, spec request.Spec, present, intent Record) Result {
+// answerRepeated answers a request whose key is taken.
+func (m *Manager) answerRepeated(ctx context.Context, spec request.Spec, present, intent Record) Result {
 	if present.Ref.Fingerprint != intent.Ref.Fingerprint {
 		return Result{Verdict: VerdictMismatch, RequestID: present.RequestID}
 	}
@@ -112,12 +112,12 @@
 	case StateIntent:
 		return m.inFlight(ctx, spec, present, intent)
 	}
-	return m.again(spec, present, intent)
+	return m.rerun(spec, present, intent)
 }
 
 func replay(record Record) Result {
 	if record.Answer == nil {
-		return Result{Verdict: VerdictGone, RequestID: record.RequestID}
+		return Result{Verdict: VerdictAnswerNotKept, RequestID: record.RequestID}
 	}
 	return Result{Verdict: VerdictReplay, RequestID: record.RequestID, Answer: record.Answer}
 }
@@ -131,7 +131,7 @@
 	}
 	source, err := m.options.Peers.Locate(ctx, present.RequestID)
 	if errors.Is(err, dispatch.ErrNotFound) {
-		return m.again(spec, present, intent)
+		return m.rerun(spec, present, intent)
 	}
 	if err != nil {
 		return running
@@ -140,7 +140,7 @@
 	if err != nil || !status.State.Final() {
 		return running
 	}
-	answer, failure, err := end(ctx, source)
+	answer, failure, err := readOutcome(ctx, source)
 	if err != nil {
 		return running
 	}
@@ -152,14 +152,14 @@
 		return Result{Verdict: VerdictReplay, RequestID: present.RequestID, Answer: answer}
 	}
 	if failure.Outcome == request.OutcomeNotRun {
-		present.State = StateVoid
-		return m.again(spec, present, intent)
+		present.State = StateNotRun
+		return m.rerun(spec, present, intent)
 	}
 	return Result{Verdict: VerdictUnknown, RequestID: present.RequestID}
 }
 
-// end reads the last event of a request that has ended.
-func end(ctx context.Context, source dispatch.Source) (*request.PlainAnswer, *request.Failure, error) {
+// readOutcome reads the last event of a request that has ended.
+func readOutcome(ctx context.Context, source dispatch.Source) (*request.PlainAnswer, *request.Failure, error) {
 	var last dispatch.Event
 	err := source.Follow(ctx, 0, func(event dispatch.Event) error {
 		last = event
@@ -171,30 +171,30 @@
 	return last.Plain, last.Failure, err
 }
 
-// again runs a request whose key's earlier request did not run, or may run
+// rerun runs a request whose key's earlier request did not run, or may run
 // again. Another one whose fate nobody knows stays unknown.
-func (m *Manager) again(spec request.Spec, present, intent Record) Result {
-	if present.State != StateVoid && !spec.Idempotent() {
+func (m *Manager) rerun(spec request.Spec, present, intent Record) Result {
+	if present.State != StateNotRun && !spec.Idempotent() {
 		return Result{Verdict: VerdictUnknown, RequestID: present.RequestID}
 	}
-	intent, begun := m.ledger.Again(present, intent)
+	intent, begun := m.ledger.Replace(present, intent)
 	if !begun {
 		return Result{Verdict: VerdictInFlight, RequestID: intent.RequestID}
 	}
-	return m.run(spec, intent)
+	return m.accept(spec, intent)
 }
 
 // Ended records the end of a request with a key, wherever it has run.
 func (m *Manager) Ended(spec request.Spec, id request.ID, answer *request.PlainAnswer, failure *request.Failure) {
 	intent := Record{Ref: spec.Key.KeyRef, RequestID: id, State: StateIntent, At: time.Now().UTC(), Turn: spec.Key.Turn}
-	record := ended(intent, StateUnknown, nil)
+	record := endRecord(intent, StateUnknown, nil)
 	switch {
 	case answer != nil:
-		record = ended(intent, StateDone, answer)
+		record = endRecord(intent, StateDone, answer)
 	case failure != nil && failure.Outcome == request.OutcomeNotRun:
-		record = ended(intent, StateVoid, nil)
+		record = endRecord(intent, StateNotRun, nil)
 	}
-	if m.serves(record.Ref.Zone, record.Ref.Slot) {
+	if m.isServing(record.Ref.Zone, record.Ref.Slot) {
 		m.ledger.Apply(record)
 	}
 	m.committer.Append(record)
@@ -204,14 +204,14 @@
 // taken over from its owner.
 func (m *Manager) Prepare(spec request.Spec) func(context.Context) error {
 	intent := Record{Ref: spec.Key.KeyRef, RequestID: spec.ID, State: StateIntent, At: spec.Accepted.UTC(), Turn: spec.Key.Turn}
-	return func(ctx context.Context) error { return m.record(ctx, intent) }
+	return func(ctx context.Context) error { return m.recordIntent(ctx, intent) }
 }
 
-// ended returns the record of a request's end.
-func ended(record Record, state State, answer *request.PlainAnswer) Record {
+// endRecord returns the record of a request's end.
+func endRecord(record Record, state State, answer *request.PlainAnswer) Record {
 	record.State = state
 	record.Answer = nil
-	if answer != nil && len(answer.Body) <= MaxAnswer {
+	if answer != nil && len(answer.Body) <= MaxAnswerBytes {
 		record.Answer = &request.PlainAnswer{Status: answer.Status, Header: http.Header.Clone(answer.Header), Body: answer.Body}
 	}
 	return record
--- a/internal/peer/keys.go
+++ b/internal/peer/keys.go
@@ -114,7 +114,7 @@
 func (p *KeyPeers) Forward(ctx context.Context, holder keys.Holder, spec request.Spec) (keys.Result, error) {
 	vm, known := p.Mesh.findDaemon(holder.Daemon)
 	if !known || !p.Mesh.isReachable(ctx, vm) {
-		return keys.Away("the home of this key cannot be reached"), nil
+		return keys.HomeUnreachable("the home of this key cannot be reached"), nil
 	}
 	raw, err := json.Marshal(spec)
 	if err != nil {
--- a/internal/peer/replicator.go
+++ b/internal/peer/replicator.go
@@ -194,7 +194,7 @@
 	if m.adopter == nil {
 		return
 	}
-	for _, c := range m.copies.TakeIf(m.ownerIsDead) {
+	for _, c := range m.copies.TakeFromDead(m.ownerIsDead) {
 		if c.Permitted {
 			m.adopter.RecordLost(c.Spec)
 			continue
@@ -226,7 +226,7 @@
 	if m.replaced[process{owner.Daemon, owner.Incarnation}] {
 		return true
 	}
-	if !m.daemonsListed || m.revision < owner.Listed {
+	if !m.daemonsListed || m.revision < owner.ListedRevision {
 		return false
 	}
 	for _, daemon := range m.daemons {
@@ -238,4 +238,4 @@
 }
 
 // Copies returns the number of copies kept for other daemons and their size in bytes.
-func (m *Mesh) Copies() (count, bytes int) { return m.copies.Len() }
+func (m *Mesh) Copies() (count, bytes int) { return m.copies.Size() }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -138,7 +138,7 @@
 	}
 	s.mesh.recordProcess(process{in.GetOwnerId(), in.GetOwnerIncarnation()})
 	err = s.mesh.copies.Put(backup.Copy{
-		Owner:     backup.Owner{Daemon: in.GetOwnerId(), Incarnation: in.GetOwnerIncarnation(), Listed: in.GetOwnerListed()},
+		Owner:     backup.Owner{Daemon: in.GetOwnerId(), Incarnation: in.GetOwnerIncarnation(), ListedRevision: in.GetOwnerListed()},
 		Spec:      spec,
 		Tokens:    in.GetTokens(),
 		Permitted: in.GetPermitted(),
--- a/internal/router/consume.go
+++ b/internal/router/consume.go
@@ -171,7 +171,7 @@
 // restarted lets go of what belonged to earlier incarnations of servers.
 func (s *state) restarted(ended []backend.Entry) {
 	for _, e := range ended {
-		s.router.pool.Forget(e.Address)
+		s.router.pool.CloseIdle(e.Address)
 		s.router.logger.Info("server has started again", "server", e.ID, "service", e.Service, "ended_born_ms", e.StartTimeMs)
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -188,16 +188,16 @@
 
 func (r *Router) build(onViolation func(error)) {
 	forwarder := forward.New(forward.Options{
-		Zone:    r.settings.VM.Zone,
-		View:    r.state.view,
-		Backend: platform.NewRunners(r.pool),
-		Limiter: r.state.limiter,
-		Budget:  r.budget,
-		Usage:   r.state.ledger,
-		Demand:  r.state.demand,
-		Limits:  r.state.limits,
-		Notice:  r.state.notice,
-		Advised: r.soon,
+		Zone:            r.settings.VM.Zone,
+		View:            r.state.view,
+		Backend:         platform.NewRunners(r.pool),
+		Limiter:         r.state.limiter,
+		Budget:          r.budget,
+		Usage:           r.state.ledger,
+		Demand:          r.state.demand,
+		CallerTimeouts:  r.state.limits,
+		OnLargePrompt:   r.state.notice,
+		OnAdviceChanged: r.soon,
 
 		RollOuts:   r.board,
 		Quarantine: r.state.quarantine,
--- a/internal/upstream/quiet.go
+++ b/internal/upstream/quiet.go
@@ -5,10 +5,10 @@
 	"syscall"
 )
 
-// quiet reports whether an idle connection is open and has nothing to read:
+// isQuiet reports whether an idle connection is open and has nothing to read:
 // anything there is either its end or an answer that no request asked for.
 // Connections without a descriptor, as in tests, count as quiet.
-func quiet(c net.Conn) bool {
+func isQuiet(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -25,8 +25,8 @@
 var (
 	// ErrNotSent means that no byte of the request has left.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrCalledOff means that the request was called off before it was sent.
-	ErrCalledOff = errors.New("request was called off")
+	// ErrSendDenied means that the request was called off before it was sent.
+	ErrSendDenied = errors.New("request was called off")
 	// ErrNoAnswer means that the request was sent, at least in part, and no
 	// head of an answer came back.
 	ErrNoAnswer = errors.New("no answer to a request that was sent")
@@ -46,10 +46,10 @@
 	// buffers; a request head is about 600 bytes, an event about 50.
 	readBuffer  = 4096
 	writeBuffer = 4096
-	// writtenFirst is the size in bytes up to which a body is written before the
+	// maxBodyBeforeRead is the size in bytes up to which a body is written before the
 	// answer is read: as much as fits the buffers of a connection, so that a
 	// server that does not read cannot hold the writer.
-	writtenFirst = 8 << 10
+	maxBodyBeforeRead = 8 << 10
 )
 
 // Pool holds connections by address.
@@ -76,9 +76,9 @@
 type Reuse struct {
 	// MaxIdle is the longest idle time; zero opens a connection.
 	MaxIdle time.Duration
-	// Mine tells whether an answer belongs to this request. Others, left over
+	// Matches tells whether an answer belongs to this request. Others, left over
 	// from an earlier request, are skipped. Nil takes any.
-	Mine func(*http.Response) bool
+	Matches func(*http.Response) bool
 	// MaySend is asked once a connection is there, right before the request is sent. Nil sends it.
 	MaySend func() bool
 }
@@ -116,36 +116,36 @@
 	conn *conn
 	// written gets the end of writing the request.
 	written chan error
-	// stop ends the watch on the caller's context; it returns false when that
+	// stopWatch ends the watch on the caller's context; it returns false when that
 	// has closed the connection already.
-	stop func() bool
-	once sync.Once
-	// ended is set once the body was read to its end, reuse when the server
+	stopWatch func() bool
+	once      sync.Once
+	// bodyRead is set once the body was read to its end, reuse when the server
 	// keeps the connection.
-	ended bool
-	reuse bool
+	bodyRead  bool
+	keepAlive bool
 }
 
 // Do sends a request and reads the head of its answer. A long body goes out while
 // the answer is awaited, since a server may answer early. When the context ends,
 // the connection is closed.
 func (p *Pool) Do(ctx context.Context, address string, req *http.Request, reuse Reuse) (*Response, error) {
-	c, err := p.take(ctx, address, reuse)
+	c, err := p.acquire(ctx, address, reuse)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	if reuse.MaySend != nil && !reuse.MaySend() {
-		p.keep(c)
-		return nil, fmt.Errorf("%w: %w", ErrNotSent, ErrCalledOff)
+		p.putUnused(c)
+		return nil, fmt.Errorf("%w: %w", ErrNotSent, ErrSendDenied)
 	}
 	x := &exchange{pool: p, conn: c, written: make(chan error, 1)}
-	x.stop = context.AfterFunc(ctx, c.abort)
-	if req.ContentLength <= writtenFirst {
+	x.stopWatch = context.AfterFunc(ctx, c.abort)
+	if req.ContentLength <= maxBodyBeforeRead {
 		x.written <- writeRequest(c, req)
 	} else {
 		go func() { x.written <- writeRequest(c, req) }()
 	}
-	resp, err := readHead(c.reader, req, reuse.Mine)
+	resp, err := readHead(c.reader, req, reuse.Matches)
 	if err != nil {
 		x.drop()
 		if cause := context.Cause(ctx); cause != nil {
@@ -154,7 +154,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrNoAnswer, err)
 	}
 	c.idleLimit = idleLimit(resp)
-	x.reuse = !resp.Close
+	x.keepAlive = !resp.Close
 	resp.Body = &body{ReadCloser: resp.Body, exchange: x}
 	return &Response{Response: resp, exchange: x}, nil
 }
@@ -170,8 +170,8 @@
 // maxSkipped bounds the answers of other requests that are read past.
 const maxSkipped = 3
 
-// errForeign means that only answers of other requests came.
-var errForeign = errors.New("answers belong to other requests")
+// errOtherRequests means that only answers of other requests came.
+var errOtherRequests = errors.New("answers belong to other requests")
 
 // readHead reads the head of an answer, past interim ones and past answers of
 // other requests.
@@ -191,7 +191,7 @@
 			return nil, err
 		}
 	}
-	return nil, errForeign
+	return nil, errOtherRequests
 }
 
 // idleLimit returns how long the server keeps the connection, from Keep-Alive:
@@ -207,8 +207,8 @@
 	return idleDefault
 }
 
-// take returns an idle connection that may be used, or a new one.
-func (p *Pool) take(ctx context.Context, address string, reuse Reuse) (*conn, error) {
+// acquire returns an idle connection that may be used, or a new one.
+func (p *Pool) acquire(ctx context.Context, address string, reuse Reuse) (*conn, error) {
 	now := time.Now()
 	for {
 		c := p.pop(address)
@@ -216,7 +216,7 @@
 			break
 		}
 		idle := now.Sub(c.idleSince)
-		if idle <= reuse.MaxIdle && idle < c.idleLimit && quiet(c.Conn) {
+		if idle <= reuse.MaxIdle && idle < c.idleLimit && isQuiet(c.Conn) {
 			return c, nil
 		}
 		_ = c.Close()
@@ -254,8 +254,8 @@
 	return c
 }
 
-// keep puts back a connection on which nothing was sent.
-func (p *Pool) keep(c *conn) {
+// putUnused puts back a connection on which nothing was sent.
+func (p *Pool) putUnused(c *conn) {
 	if c.idleLimit == 0 {
 		c.idleLimit = idleDefault
 	}
@@ -294,9 +294,9 @@
 	}
 }
 
-// Forget closes the idle connections to an address whose server has started again: what
+// CloseIdle closes the idle connections to an address whose server has started again: what
 // is sent on one is lost, and it stays open whether it has run.
-func (p *Pool) Forget(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[address] {
@@ -305,9 +305,9 @@
 	delete(p.idle, address)
 }
 
-// Refused opens a connection to an address and reports whether nobody listens there. An
+// ConnectionRefused opens a connection to an address and reports whether nobody listens there. An
 // address that does not answer refuses nothing. The connection is kept for a request.
-func (p *Pool) Refused(ctx context.Context, address string) bool {
+func (p *Pool) ConnectionRefused(ctx context.Context, address string) bool {
 	p.mu.Lock()
 	closed := p.closed
 	p.mu.Unlock()
@@ -318,7 +318,7 @@
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 	}
-	p.keep(c)
+	p.putUnused(c)
 	return false
 }
 
@@ -353,15 +353,15 @@
 
 func (x *exchange) drop() {
 	x.once.Do(func() {
-		x.stop()
+		x.stopWatch()
 		x.conn.abort()
 	})
 }
 
 func (x *exchange) end() {
 	x.once.Do(func() {
-		open := x.stop()
-		if open && x.ended && x.reuse && x.wroteAll() && x.conn.reader.Buffered() == 0 {
+		open := x.stopWatch()
+		if open && x.bodyRead && x.keepAlive && x.wroteAll() && x.conn.reader.Buffered() == 0 {
 			x.pool.put(x.conn)
 			return
 		}
@@ -390,7 +390,7 @@
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
-		b.exchange.ended = true
+		b.exchange.bodyRead = true
 	}
 	return n, err
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -18,17 +18,17 @@
 	"github.com/plankridge/plankridge/internal/network"
 )
 
-// script is a server that answers each request on a connection with the next of
+// scriptedServer is a server that answers each request on a connection with the next of
 // its texts; an empty text closes the connection.
-type script struct {
+type scriptedServer struct {
 	listener net.Listener
 	conns    chan int
 }
 
-func serve(c *qt.C, texts ...string) *script {
+func serve(c *qt.C, texts ...string) *scriptedServer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	s := &script{listener: listener, conns: make(chan int, 16)}
+	s := &scriptedServer{listener: listener, conns: make(chan int, 16)}
 	c.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for n := 1; ; n++ {
@@ -43,7 +43,7 @@
 	return s
 }
 
-func (s *script) answer(conn net.Conn, texts []string) {
+func (s *scriptedServer) answer(conn net.Conn, texts []string) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for _, text := range texts {
@@ -69,13 +69,13 @@
 	answerTwo = "HTTP/1.1 200 OK\r\nRequest-Id: 2\r\nContent-Length: 3\r\n\r\ntwo"
 )
 
-// mine takes the answer with a number.
-func mine(id string) func(*http.Response) bool {
+// hasID takes the answer with a number.
+func hasID(id string) func(*http.Response) bool {
 	return func(r *http.Response) bool { return r.Header.Get("Request-Id") == id }
 }
 
-func do(pool *Pool, s *script, id string, idle time.Duration) (string, error) {
-	resp, err := pool.Do(context.Background(), s.listener.Addr().String(), get("/x"), Reuse{MaxIdle: idle, Mine: mine(id)})
+func do(pool *Pool, s *scriptedServer, id string, idle time.Duration) (string, error) {
+	resp, err := pool.Do(context.Background(), s.listener.Addr().String(), get("/x"), Reuse{MaxIdle: idle, Matches: hasID(id)})
 	if err != nil {
 		return "", err
 	}
@@ -84,7 +84,7 @@
 	return string(body), err
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	c := qt.New(t)
 	s := serve(c, answerOne, answerTwo)
 	pool := NewPool(network.TCP{}, time.Second)
