--- a/internal/forward/advice.go
+++ b/internal/forward/advice.go
@@ -8,7 +8,7 @@
 	"github.com/plankridge/plankridge/internal/backend"
 )
 
-// applyAdvice applies the advice in a response, unless another server has the address now.
+// applyAdvice applies the load advice in a response, unless the address now belongs to another server.
 func (r *run) applyAdvice(choice *backend.Choice, answer *Answer) {
 	if answer.WrongServer {
 		return
@@ -32,14 +32,14 @@
 		"limited", after.Limited, "requests_per_second", after.Rate, "limited_before", before.Limited, "requests_per_second_before", before.Rate, "from", "answer")
 }
 
-// logAdvice logs a rest, and advice that cannot be decoded.
+// logAdvice logs a request for rest, and advice that cannot be decoded.
 func (r *run) logAdvice(choice *backend.Choice, a advice.Advice) {
 	if a.LimitError == nil && a.RetryAfterError == nil && a.RetryAfter == 0 {
 		return
 	}
 	logger := r.options.Logger.With("server", choice.ID, "service", choice.Service, "zone", choice.Zone, "request_id", r.call.ID)
 	if err := errors.Join(a.LimitError, a.RetryAfterError); err != nil {
-		logger.Debug("server's advice cannot be read", "error", err)
+		logger.Debug("cannot decode the load advice of a server", "error", err)
 	}
 	if a.RetryAfter > 0 {
 		logger.Info("server declined and asked for rest", "rest_ms", a.RetryAfter.Milliseconds())
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -13,20 +13,20 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// maxBufferedAnswer is the size in bytes up to which an answer is read whole before
-// the caller gets its head, so that a broken one can still be replaced. Answers
-// of plain services are about 800 bytes; longer ones pass through as they come.
+// maxBufferedAnswer is the size in bytes up to which an answer is buffered before its
+// header is sent to the caller, so that a broken answer can still be retried. Answers of
+// plain services are about 800 bytes; larger ones are streamed to the caller.
 const maxBufferedAnswer = 64 << 10
 
-// forwardAnswer handles an answer that is not a stream of events.
+// forwardAnswer forwards an answer that is not an event stream.
 func (r *run) forwardAnswer(ctx context.Context, choice *backend.Choice, answer *Answer) result {
 	r.firstAnswerAfter = time.Since(r.call.Arrived)
-	held, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedAnswer+1))
+	buffered, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedAnswer+1))
 	if err != nil {
 		return r.endBroken(ctx, "broken-answer")
 	}
 	r.countUsage(time.Now())
-	if len(held) <= maxBufferedAnswer {
+	if len(buffered) <= maxBufferedAnswer {
 		r.reportCompleted(time.Now())
 	}
 	if r.shouldRetry(answer.Status) {
@@ -37,10 +37,10 @@
 	}
 	choice.RecordEvent(time.Now())
 	r.sendHeader(answer)
-	if err := r.reply.Write(held); err != nil {
+	if err := r.reply.Write(buffered); err != nil {
 		return r.endCallerLeft()
 	}
-	if len(held) > maxBufferedAnswer {
+	if len(buffered) > maxBufferedAnswer {
 		if err := r.copyRest(answer); err != nil {
 			_ = r.step(request.StepCancel)
 			return result{outcome: backend.OutcomeNeutral, label: "cut", done: true, err: err}
@@ -49,21 +49,21 @@
 	}
 	answer.Exchange.Close()
 	_ = r.step(request.StepAnswer)
-	outcome, how := backend.OutcomeServed, signalGood
+	outcome, signal := backend.OutcomeServed, signalGood
 	if answer.Status >= http.StatusInternalServerError {
-		outcome, how = backend.OutcomeFailed, signalBad
+		outcome, signal = backend.OutcomeFailed, signalBad
 	}
-	return result{outcome: outcome, signal: how, label: strconv.Itoa(answer.Status), done: true}
+	return result{outcome: outcome, signal: signal, label: strconv.Itoa(answer.Status), done: true}
 }
 
-// endCallerLeft ends a call whose answer nobody takes.
+// endCallerLeft ends a call whose caller has disconnected.
 func (r *run) endCallerLeft() result {
 	_ = r.step(request.StepCancel)
 	return result{outcome: backend.OutcomeNeutral, label: "caller-left", done: true, err: errCallerLeft}
 }
 
-// shouldRetry reports whether a server's failure is better followed by another
-// attempt than passed on.
+// shouldRetry reports whether to make another attempt after a server error instead of
+// forwarding the error to the caller.
 func (r *run) shouldRetry(status int) bool {
 	return status >= http.StatusInternalServerError &&
 		r.call.Route.Repeat == catalog.RunsAgain &&
@@ -71,7 +71,7 @@
 		time.Until(r.call.Deadline()) >= minAttemptTime
 }
 
-// sendHeader sends the head of the answer.
+// sendHeader sends the status and header of the answer, once.
 func (r *run) sendHeader(answer *Answer) {
 	if r.headerSent {
 		return
@@ -80,13 +80,13 @@
 	r.reply.Begin(answer.Status, answer.Header)
 }
 
-// copyRest copies the rest of a long answer.
+// copyRest copies the part of a long answer that was not buffered.
 func (r *run) copyRest(answer *Answer) error {
-	buffer := make([]byte, 32<<10)
+	buf := make([]byte, 32<<10)
 	for {
-		n, err := answer.Body.Read(buffer)
+		n, err := answer.Body.Read(buf)
 		if n > 0 {
-			if err := r.reply.Write(buffer[:n]); err != nil {
+			if err := r.reply.Write(buf[:n]); err != nil {
 				return errCallerLeft
 			}
 		}
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -14,22 +14,22 @@
 	"github.com/plankridge/plankridge/internal/upstream"
 )
 
-// result is how an attempt ended.
+// result is the outcome of an attempt.
 type result struct {
 	outcome backend.Outcome
 	label   string
-	// signal says how the server answered, as far as that says something of its version.
+	// signal rates the answer for the comparison of versions in a roll-out.
 	signal versionSignal
-	// connBroken is set where the other side broke the connection: the server may have ended.
+	// connBroken is set when the peer broke the connection: its process may have ended.
 	connBroken bool
-	// serverRestarted is set where it broke since the server has started again.
+	// serverRestarted is set when the connection broke because the server has restarted.
 	serverRestarted bool
-	// done means that the call has its final state, err.
+	// done means that the call has reached its final state, err.
 	done bool
 	err  error
 }
 
-// versionSignal is how a server answered. A connection that broke says nothing of its version.
+// versionSignal rates an answer. A broken connection gives no signal about the version.
 type versionSignal int
 
 const (
@@ -42,9 +42,9 @@
 func (r *run) try(ctx context.Context, choice *backend.Choice) result {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stopWatch := r.startSilenceTimer(cancel)
-	defer stopWatch()
-	// Behind a cut the connection to the earlier incarnation stays silent.
+	stopTimer := r.startSilenceTimer(cancel)
+	defer stopTimer()
+	// During a network partition the connection to the previous incarnation stays silent.
 	choice.OnRestart(func() { cancel(errRestarted) })
 	if err := r.step(request.StepDispatch); err != nil {
 		return result{outcome: backend.OutcomeNeutral, label: "not-allowed", done: true, err: r.giveUp(ctx, &Refusal{Reason: err.Error()})}
@@ -68,7 +68,7 @@
 	return r.handleAnswer(ctx, choice, answer)
 }
 
-// endNotSent ends an attempt that did not reach its server.
+// endNotSent ends an attempt whose request was not sent.
 func (r *run) endNotSent(ctx context.Context, choice *backend.Choice, err error) result {
 	choice.RefundAdmission()
 	r.unsent++
@@ -78,16 +78,15 @@
 	return r.endWithStep(request.StepNotSent, r.failureOutcome(ctx), "not-sent")
 }
 
-// endWithStep takes the step that an attempt without an answer for the caller ended
-// with.
-func (r *run) endWithStep(step request.Step, outcome backend.Outcome, what string) result {
+// endWithStep applies the final step of an attempt that produced no answer for the caller.
+func (r *run) endWithStep(step request.Step, outcome backend.Outcome, label string) result {
 	_ = r.step(step)
 	r.charged = r.verdict != nil && (step == request.StepNotSent || step == request.StepDeclined)
-	return result{outcome: outcome, label: what}
+	return result{outcome: outcome, label: label}
 }
 
-// endNoAnswer ends an attempt whose server sent no head of an answer. Silence until the time is
-// up is an answer of a kind.
+// endNoAnswer ends an attempt whose server sent no response header. A server that stays
+// silent until the timeout counts as a bad answer of its version.
 func (r *run) endNoAnswer(ctx context.Context) result {
 	ended := r.endBroken(ctx, "no-answer")
 	if cause := context.Cause(ctx); errors.Is(cause, errSilent) || errors.Is(cause, errTimeout) {
@@ -96,23 +95,23 @@
 	return ended
 }
 
-// endLost ends an attempt that may have run and whose answer will not come.
-func (r *run) endLost(ctx context.Context, what string) result {
+// endLost ends an attempt that may have run and whose answer is lost.
+func (r *run) endLost(ctx context.Context, label string) result {
 	r.countUsage(time.Now())
-	return r.endWithStep(request.StepLost, r.failureOutcome(ctx), what)
+	return r.endWithStep(request.StepLost, r.failureOutcome(ctx), label)
 }
 
-// endBroken ends an attempt whose connection broke, or that this daemon gave up.
-func (r *run) endBroken(ctx context.Context, what string) result {
-	ended := r.endLost(ctx, what)
+// endBroken ends an attempt whose connection broke or that this daemon cancelled.
+func (r *run) endBroken(ctx context.Context, label string) result {
+	ended := r.endLost(ctx, label)
 	cause := context.Cause(ctx)
 	ended.serverRestarted = errors.Is(cause, errRestarted)
 	ended.connBroken = cause == nil || ended.serverRestarted
 	return ended
 }
 
-// failureOutcome is the outcome of an attempt without an answer: a caller that left
-// or a timeout of our own says little about the server.
+// failureOutcome returns the outcome of an attempt without an answer. It is neutral when
+// the caller has disconnected, which says little about the server.
 func (r *run) failureOutcome(ctx context.Context) backend.Outcome {
 	if errors.Is(context.Cause(ctx), context.Canceled) {
 		return backend.OutcomeNeutral
@@ -134,14 +133,14 @@
 	}
 }
 
-// overdueRankPenalty is added to the rank of a call that is late whatever happens: it goes behind
-// all that are not, whose ranks are 0 to 2 at today's users.
+// overdueRankPenalty is added to the rank of a call that will be late in any case. It places
+// the call behind all calls that can be on time, whose ranks are 0 to 2.
 const overdueRankPenalty = 5
 
-// lowestPriority is the least urgent that engines know.
+// lowestPriority is the least urgent priority that engines accept.
 const lowestPriority = 9
 
-// priority returns the engine's order of admission.
+// priority returns the priority by which the engine admits the call.
 func (r *run) priority() int {
 	rank := r.call.Rank
 	if r.overdue() {
@@ -150,7 +149,7 @@
 	return min(lowestPriority, rank)
 }
 
-// maxIdle returns how long a connection for the call may have been idle.
+// maxIdle returns how long a reused connection for the call may have been idle.
 func (r *run) maxIdle() time.Duration {
 	if r.call.Route.Repeat == catalog.RunsAgain {
 		return maxIdleIdempotent
@@ -158,17 +157,17 @@
 	return maxIdleNonIdempotent
 }
 
-// startSilenceTimer ends an attempt at an idempotent request whose server stays
-// silent, while another attempt is left. The returned function stops it.
+// startSilenceTimer cancels an attempt of an idempotent request whose server stays silent,
+// if another attempt remains. The returned function stops the timer.
 func (r *run) startSilenceTimer(cancel context.CancelCauseFunc) (stop func() bool) {
 	if r.call.Route.Repeat != catalog.RunsAgain || r.sends+1 >= r.call.Route.MaxAttempts {
 		return func() bool { return false }
 	}
-	limit := max(minSilenceTimeout, silenceTargetFactor*r.call.Route.Target)
-	return time.AfterFunc(limit, func() { cancel(errSilent) }).Stop
+	timeout := max(minSilenceTimeout, silenceTargetFactor*r.call.Route.Target)
+	return time.AfterFunc(timeout, func() { cancel(errSilent) }).Stop
 }
 
-// countUsage counts the call as one that a server began to run, once.
+// countUsage records once that a server began to run the call.
 func (r *run) countUsage(at time.Time) {
 	if r.usageCounted || r.call.Workspace == "" {
 		return
@@ -177,13 +176,13 @@
 	r.options.Usage.Began(r.call.Workspace, at)
 }
 
-// handleAnswer handles the head of an answer.
+// handleAnswer handles the header of an answer.
 func (r *run) handleAnswer(ctx context.Context, choice *backend.Choice, answer *Answer) result {
 	switch {
 	case answer.WrongServer:
 		return r.endWithStep(request.StepDeclined, backend.OutcomeWrongServer, "wrong-server")
 	case answer.NotRun:
-		// The connection is kept when the short rest of the answer is read.
+		// Reading the short rest of the answer allows the connection to be reused.
 		_, _ = io.CopyN(io.Discard, answer.Body, maxBufferedAnswer)
 		answer.Exchange.Close()
 		declined := r.endWithStep(request.StepDeclined, backend.OutcomeFull, "declined")
@@ -194,8 +193,7 @@
 	case answer.IsEventStream && answer.Status == http.StatusOK:
 		return r.forwardStream(ctx, choice, answer)
 	case r.headerSent:
-		// The caller has events of an earlier attempt: this answer cannot follow
-		// them.
+		// The caller has received events of an earlier attempt, which this answer cannot continue.
 		return r.endLost(ctx, "status-"+strconv.Itoa(answer.Status))
 	}
 	return r.forwardAnswer(ctx, choice, answer)
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -1,6 +1,6 @@
-// Package forward carries a caller's request to a backend server and the
-// answer back, byte for byte. It picks servers, sends again where that is safe,
-// resumes streams and refuses with the truth about whether a request has run.
+// Package forward forwards a caller's request to a backend server and streams the answer
+// back unmodified. It picks servers, retries where that is safe and resumes broken streams.
+// Its refusals state correctly whether a request may have run.
 package forward
 
 import (
@@ -22,42 +22,42 @@
 
 // Call is a decoded request.
 type Call struct {
-	// ID is the caller's own ID of this attempt.
+	// ID is the caller's own ID for this attempt.
 	ID      string
 	Catalog *catalog.Catalog
 	Route   *catalog.Route
 	Service string
-	// Workspace is empty on routes without a key.
+	// Workspace is empty on routes that need no API key.
 	Workspace string
-	// Rank is the urgency; zero is the most urgent.
+	// Rank is the urgency; 0 is the most urgent.
 	Rank   int
 	Method string
-	// Target is the path and query as the caller sent them.
+	// Target is the path and query as received from the caller.
 	Target string
 	Host   string
-	// Header holds what goes on to a backend server.
+	// Header holds the headers to forward to a backend server.
 	Header http.Header
 	Body   []byte
-	// Prompt is nil for requests that no engine reads.
+	// Prompt is nil for requests that do not go to a model engine.
 	Prompt  *Prompt
 	Arrived time.Time
-	// CallerTimeout is how long the caller waits; zero means that it did not say.
+	// CallerTimeout is how long the caller waits; zero means that it stated no limit.
 	CallerTimeout time.Duration
-	// LastEventID is the last event of a stream that the caller has, or empty.
+	// LastEventID is the ID of the last stream event that the caller has received, or empty.
 	LastEventID string
 }
 
-// Prompt is what a request asks of a model engine.
+// Prompt holds the parts of a model request that affect routing.
 type Prompt struct {
-	// Tokens is the size of the prompt, MaxOutput the most that is generated.
-	// LikelyOutput is the caller's own estimate, or zero.
+	// Tokens is the size of the prompt and MaxOutput the maximum number of output tokens.
+	// LikelyOutput is the caller's estimate of the output tokens, or zero.
 	Tokens       int
 	MaxOutput    int
 	LikelyOutput int
 	Parts        []backend.PromptPart
 }
 
-// Deadline returns when the caller must have its final answer.
+// Deadline returns the time by which the caller must have its final answer.
 func (c *Call) Deadline() time.Time {
 	wait := c.Route.Timeout
 	if c.CallerTimeout > 0 && c.CallerTimeout < wait {
@@ -66,8 +66,8 @@
 	return c.Arrived.Add(wait)
 }
 
-// CallerDeadline returns when the caller stops waiting. Backend servers are
-// told no more than that.
+// CallerDeadline returns the time at which the caller stops waiting. It bounds the time
+// limit that is sent to backend servers.
 func (c *Call) CallerDeadline() time.Time {
 	if c.CallerTimeout > 0 {
 		return c.Arrived.Add(c.CallerTimeout)
@@ -75,7 +75,7 @@
 	return c.Arrived.Add(c.Route.Timeout)
 }
 
-// tokenCost is the number of tokens that the call takes from its workspace's
+// tokenCost returns the number of tokens that the call consumes of its workspace's
 // allowance.
 func (c *Call) tokenCost(w *catalog.Workspace) float64 {
 	switch {
@@ -87,113 +87,112 @@
 	return float64(c.Prompt.Tokens + c.Prompt.MaxOutput)
 }
 
-// content returns what tells requests that ask the same.
+// content returns the identity by which the quarantine recognizes identical requests.
 func (c *Call) content() quarantine.Content {
 	return quarantine.ContentOf(c.Workspace, c.Method, c.Host, c.Target, c.Body)
 }
 
-// Attempt is one sending of a call to one server.
+// Attempt is one attempt to run a call on one server.
 type Attempt struct {
 	Call   *Call
 	Server backend.Entry
 	// TimeLeft is the time that the server may take.
 	TimeLeft time.Duration
-	// LastEventID is the last event that the caller has, or empty.
+	// LastEventID is the ID of the last event that the caller has received, or empty.
 	LastEventID string
-	// Priority is the engine's order of admission, 0 first, 9 last.
+	// Priority is the priority for admission at the engine, from 0 (first) to 9 (last).
 	Priority int
-	// FetchFrom is the address of a server that the receiver copies prompt parts
-	// from, or empty.
+	// FetchFrom is the address of the server from which the receiver copies cached prompt
+	// parts, or empty.
 	FetchFrom string
-	// MaxIdle is how long a connection that is used may have been idle.
+	// MaxIdle is the longest time that a reused connection may have been idle.
 	MaxIdle time.Duration
-	// MaySend is asked right before the request is sent, once there is a connection.
+	// MaySend is called right before the request is sent, once a connection is available.
 	MaySend func() bool
 }
 
-// Errors of an attempt, beside those of package upstream.
+// Errors of an attempt, in addition to those of package upstream.
 var (
 	// ErrOtherRequest means that an answer belongs to another request.
 	ErrOtherRequest = errors.New("answer belongs to another request")
 )
 
-// Answer is the head of a server's answer and its body.
+// Answer holds the header of a server's answer and a reader of its body.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
-	// NotRun is the server's word that it did not run the request.
+	// NotRun is set when the server states that it did not run the request.
 	NotRun bool
-	// WrongServer means that another server has the address now.
+	// WrongServer means that the address now belongs to another server.
 	WrongServer bool
 	// Signed is set when the answer carries the server's signature.
 	Signed bool
-	// Advice is the server's load advice.
+	// Advice is the load advice that the server sent with the answer.
 	Advice advice.Advice
-	// IsEventStream is set for an answer of events.
+	// IsEventStream is set when the body is a stream of server-sent events.
 	IsEventStream bool
-	// Exchange ends the exchange.
+	// Exchange must be closed or dropped when the answer has been handled.
 	Exchange Exchange
 }
 
-// Exchange is the connection that an answer comes on.
+// Exchange is the HTTP exchange that an answer belongs to.
 type Exchange interface {
-	// Close keeps the connection when the answer was read to its end.
+	// Close ends the exchange. The connection is reused if the answer was read to its end.
 	Close()
-	// Drop closes it, which tells the server that nobody waits any more.
+	// Drop closes the connection, which cancels the request at the server.
 	Drop()
 }
 
-// Backend sends attempts. Its errors are upstream.ErrNotSent and
-// upstream.ErrNoAnswer.
+// Backend sends attempts. Send fails with upstream.ErrNotSent or upstream.ErrNoAnswer.
 type Backend interface {
 	Send(ctx context.Context, attempt Attempt) (*Answer, error)
-	// Ended asks whether a server's process has ended. Where that cannot be found out
-	// it has not.
+	// Ended reports whether a server's process has ended, and false if that cannot be
+	// determined.
 	Ended(ctx context.Context, server backend.Entry) bool
 }
 
-// Reply takes the answer for the caller.
+// Reply writes the answer to the caller.
 type Reply interface {
-	// Begin sends the head of the answer.
+	// Begin sends the status and header of the answer.
 	Begin(status int, header http.Header)
-	// Write sends a part of the body at once.
+	// Write sends a part of the body without buffering.
 	Write(part []byte) error
 }
 
-// Refusal is an answer of our own.
+// Refusal is an answer that the daemon itself gives.
 type Refusal struct {
-	// Status is an HTTP status. 429 and 503 promise that the request has not
-	// run and will not.
+	// Status is an HTTP status. 429 and 503 guarantee that the request has not run and
+	// will not run.
 	Status int
 	Reason string
-	// RetryAfter advises the caller when to come back; zero gives no advice.
+	// RetryAfter is how long the caller should wait before a retry; zero states no time.
 	RetryAfter time.Duration
 }
 
 // Error implements error.
 func (r *Refusal) Error() string { return r.Reason }
 
-// ErrTruncated means that the answer has begun and cannot be finished: the
-// connection to the caller has to be closed so that it looks cut.
+// ErrTruncated means that the answer was begun and cannot be completed. The connection to
+// the caller must be closed so that the caller sees a truncated answer.
 var ErrTruncated = errors.New("answer was cut off")
 
-// Limiter decides on a workspace's allowance.
+// Limiter enforces the allowances of workspaces.
 type Limiter interface {
-	// Admit takes tokens from the allowance, or says when to come back.
+	// Admit takes tokens from the allowance, or returns when to try again.
 	Admit(workspace string, tokens float64) allowance.Verdict
-	// Repeat takes tokens for one more run of a request that may have run.
+	// Repeat takes tokens for another run of a request that may already have run.
 	Repeat(workspace string, tokens float64) allowance.Verdict
-	// Refund gives tokens back for a request that was admitted at a time, which is of the
-	// limiter's clock, and has not run.
+	// Refund returns the tokens of a request that has not run. admitted is the time of its
+	// admission by the limiter's clock.
 	Refund(workspace string, tokens float64, admitted time.Time)
 }
 
-// Budget bounds the sendings beyond the first of each request.
+// Budget bounds the retries, which are all attempts of a request beyond its first.
 type Budget interface {
-	// Count notes the first sending of a request.
+	// Count counts the first attempt of a request.
 	Count(service string, now time.Time)
-	// Take asks for one more sending.
+	// Take reports whether another attempt is within the budget, and counts it.
 	Take(service string, now time.Time) bool
 }
 
@@ -202,33 +201,33 @@
 	Began(workspace string, at time.Time)
 }
 
-// Quarantine holds back requests that end the servers that run them.
+// Quarantine blocks requests that crash the servers that run them.
 type Quarantine interface {
-	// Barred reports whether a request is held back.
+	// Barred reports whether a request is blocked.
 	Barred(content quarantine.Content, now time.Time) bool
-	// Doubted reports whether one whose attempt has broken should not go on to another server.
+	// Doubted reports whether a request whose attempt broke should not be retried on another server.
 	Doubted(content quarantine.Content) bool
-	// Answered notes that a server has run one to the end.
+	// Answered records that a server has run a request to completion.
 	Answered(content quarantine.Content, now time.Time)
-	// Broke notes that an attempt broke at a server; certain is set where it has ended.
+	// Broke records that an attempt broke at a server. certain is set if the server is known to have ended.
 	Broke(server watch.Server, lost quarantine.Lost, certain bool, at time.Time)
 }
 
-// Demand measures what is asked of a service.
+// Demand measures the requested load of each service.
 type Demand interface {
 	Asked(service string, work demand.Load, now time.Time)
 }
 
-// RollOuts decide which requests try another version of a service, and learn how both
-// versions answer.
+// RollOuts decides which requests go to the candidate version of a service, and collects
+// the results of both versions.
 type RollOuts interface {
-	// Asked counts a request and returns whether it tries the version. once is set for one
-	// that runs once at most; draw is uniform in [0, 1).
+	// Asked counts a request and reports whether it goes to the candidate. once is set for
+	// a request that must not run twice; draw is uniform in [0, 1).
 	Asked(service, route string, once bool, draw float64, now time.Time) bool
-	// Moved reports whether all requests of a service go to the version, later attempts too.
+	// Moved reports whether all requests of a service, retries included, go to the candidate.
 	Moved(service string, now time.Time) bool
-	// Exposed counts a request that was sent to the version.
+	// Exposed counts a request that was sent to the candidate.
 	Exposed(service string)
-	// Answered takes over how a server answered.
+	// Answered records the result of an answer.
 	Answered(rollout.Answer)
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -22,29 +22,29 @@
 )
 
 const (
-	// retryAfterTransient is the advice after a refusal that a moment may cure: a server
-	// that was full or could not be reached.
+	// retryAfterTransient is the Retry-After value for short-lived conditions, such as a full
+	// or unreachable server.
 	retryAfterTransient = 150 * time.Millisecond
-	// retryAfterQuarantine is the advice to a caller whose request ends servers: nothing but a change of
-	// the servers or of the request will do.
+	// retryAfterQuarantine is the Retry-After value for a request that crashes servers. Only
+	// a change of the servers or of the request resolves that.
 	retryAfterQuarantine = 30 * time.Second
-	// retryAfterNoServer is the advice when a service has no server: new ones boot
-	// for some seconds.
+	// retryAfterNoServer is the Retry-After value for a service without a server: new servers
+	// take some seconds to boot.
 	retryAfterNoServer = 500 * time.Millisecond
-	// maxUnreachable bounds the servers that could not be reached before a request is
-	// refused; none of them has seen it.
+	// maxUnreachable is the number of unreachable servers after which a request is refused.
+	// None of them has received the request.
 	maxUnreachable = 3
-	// silenceTargetFactor times a route's target is how long an idempotent attempt may
-	// stay silent before another server is tried, and minSilenceTimeout its least.
+	// silenceTargetFactor times a route's latency target is how long an idempotent attempt
+	// may stay silent before another server is tried. minSilenceTimeout is the lower bound.
 	silenceTargetFactor = 2
 	minSilenceTimeout   = 200 * time.Millisecond
-	// minAttemptTime is the least time left with which another server is tried: below, an
-	// answer comes in time from hardly any service that is called over a network.
+	// minAttemptTime is the remaining time below which no further server is tried: hardly any
+	// service that is called over a network answers in less.
 	minAttemptTime = 30 * time.Millisecond
-	// maxIdleNonIdempotent bounds how long a connection for a request that runs once may
-	// have been idle: a server that closes it as the request arrives leaves
-	// open whether it ran. maxIdleIdempotent is the same for requests that may be sent
-	// again. Servers keep idle connections for some seconds and say how many.
+	// maxIdleNonIdempotent bounds how long a reused connection for a request that must not
+	// run twice may have been idle. If a server closes the connection as the request arrives,
+	// it is unknown whether the request ran. maxIdleIdempotent is the bound for requests that
+	// may be retried. Servers keep idle connections for some seconds and state how many.
 	maxIdleNonIdempotent = 500 * time.Millisecond
 	maxIdleIdempotent    = 5 * time.Second
 )
@@ -56,7 +56,7 @@
 	errRestarted  = errors.New("server has started again")
 )
 
-// Options are what a Forwarder works with.
+// Options holds the dependencies and settings of a Forwarder.
 type Options struct {
 	Zone    string
 	View    *backend.View
@@ -65,75 +65,74 @@
 	Budget  Budget
 	Usage   Usage
 	Demand  Demand
-	// RollOuts decide which requests try another version of a service. Nil is none.
+	// RollOuts selects the requests that go to the candidate version of a service. It may be nil.
 	RollOuts RollOuts
-	// Quarantine holds back requests that end servers. Nil holds nothing back.
+	// Quarantine blocks requests that crash servers. Nil blocks nothing.
 	Quarantine Quarantine
-	// CallerTimeouts tell how long ago a caller first tried.
+	// CallerTimeouts infers from the stated time limits how long ago a caller first tried.
 	CallerTimeouts *firsttry.Limits
-	// OnLargePrompt tells other daemons of a prompt that keeps a server reading for long.
+	// OnLargePrompt informs other daemons of a prompt that occupies a server for long.
 	OnLargePrompt func(server backend.Entry, tokens int)
-	// OnAdviceChanged is called when a server's answer has changed what others should know. Nil calls
-	// nothing.
+	// OnAdviceChanged is called when advice in an answer has changed the state shared with
+	// other daemons. It may be nil.
 	OnAdviceChanged func()
-	// Freshness returns how long ago the store told of the servers, and whether
-	// it fails to answer. It is for the log only.
+	// Freshness returns the age of the server list and whether the store currently fails
+	// to answer. It is used for logging only.
 	Freshness func() (serversAge time.Duration, storeFailing bool)
 	Logger    *slog.Logger
 	Metrics   *Metrics
-	// OnViolation is called when the program breaks an invariant; tests make it
-	// fatal.
+	// OnViolation is called when an invariant is violated; tests make that fatal.
 	OnViolation func(error)
 }
 
-// Forwarder carries the requests of one daemon.
+// Forwarder forwards the requests of one daemon.
 type Forwarder struct {
 	options Options
 }
 
-// New returns a forwarder.
+// New returns a Forwarder.
 func New(options Options) *Forwarder {
 	return &Forwarder{options: options}
 }
 
-// run is one call on its way.
+// run is the state of one call while it is forwarded.
 type run struct {
 	*Forwarder
 	call  *Call
 	reply Reply
-	// sends counts attempts that have left, unsent those that could not.
+	// sends counts the attempts that were sent, unsent those that could not be sent.
 	sends  int
 	unsent int
 	tried  map[string]bool
-	// candidate is set while the call tries the version that a roll-out names.
+	// candidate is set while the call goes to the candidate version of a roll-out.
 	candidate bool
-	// lifecycle decides what may be sent again and what the caller may be told.
+	// lifecycle decides whether a retry is safe and which outcome may be reported.
 	lifecycle *request.Life
-	// usageCounted is set once the call counts as usage, asked once as demand.
+	// usageCounted is set once the call is counted as usage, demandCounted once as demand.
 	usageCounted  bool
 	demandCounted bool
-	// headerSent is set once the head of the answer has gone to the caller.
+	// headerSent is set once the header of the answer was sent to the caller.
 	headerSent bool
-	// lastEventID is the last event that the caller has.
+	// lastEventID is the ID of the last event sent to the caller.
 	lastEventID string
-	// cost is what the call takes of its workspace's allowance.
+	// cost is the number of tokens that the call consumes of its workspace's allowance.
 	cost float64
-	// callerAge is how long before this attempt the caller first tried.
+	// callerAge is the time from the caller's first try to this request.
 	callerAge time.Duration
-	// content tells requests that ask the same.
+	// content is the identity by which the quarantine recognizes identical requests.
 	content          quarantine.Content
 	firstAnswerAfter time.Duration
 	status           int
 	history          []attemptRecord
-	// verdict is the last decision of the call's allowance, if it has one, and charged is set while what it
-	// admitted is for a run that has not begun.
+	// verdict is the latest decision of the limiter, or nil without an allowance. charged is
+	// set while the admitted tokens are for a run that has not begun.
 	verdict *allowance.Verdict
 	charged bool
 }
 
-// Forward serves a call. It returns nil when the answer of a server was passed
-// on whole, a *Refusal when nothing has been sent to the caller, and ErrTruncated
-// when the answer could not be finished.
+// Forward serves a call. It returns nil when a server's answer was forwarded completely, a
+// *Refusal when nothing has been sent to the caller, and ErrTruncated when the answer could
+// not be completed.
 func (f *Forwarder) Forward(ctx context.Context, call *Call, reply Reply) error {
 	r := &run{
 		Forwarder: f, call: call, reply: reply, tried: map[string]bool{}, lastEventID: call.LastEventID,
@@ -147,8 +146,7 @@
 	return err
 }
 
-// step takes a step of the call's life. A step that it does not have is a fault
-// of this program.
+// step applies a step to the call's state machine. An invalid step is a bug in this program.
 func (r *run) step(step request.Step) error {
 	err := r.lifecycle.Apply(step)
 	if errors.Is(err, request.ErrInvariant) {
@@ -161,10 +159,10 @@
 	return err
 }
 
-// mayHaveRun reports whether an attempt may have run.
+// mayHaveRun reports whether any attempt may have run.
 func (r *run) mayHaveRun() bool { return r.lifecycle.Outcome() != request.OutcomeNotRun }
 
-// runWithinAllowance runs the call within its workspace's allowance.
+// runWithinAllowance runs the call if its workspace's allowance admits it.
 func (r *run) runWithinAllowance(ctx context.Context) error {
 	if refusal := r.checkQuarantine(time.Now()); refusal != nil {
 		return r.giveUp(ctx, refusal)
@@ -190,7 +188,8 @@
 
 const reasonAboveAllowance = "workspace is above its allowance"
 
-// chargeRepeat takes another run of the call from its workspace's allowance, if the run before may have happened.
+// chargeRepeat charges another run of the call to its workspace's allowance, unless the
+// previous charge is still unused.
 func (r *run) chargeRepeat() *Refusal {
 	if r.verdict == nil || r.charged {
 		return nil
@@ -204,7 +203,7 @@
 	return nil
 }
 
-// checkQuarantine refuses a call that ends the servers that run it.
+// checkQuarantine refuses a call that crashes the servers that run it.
 func (r *run) checkQuarantine(now time.Time) *Refusal {
 	refusal := &Refusal{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterQuarantine}
 	switch {
@@ -220,14 +219,14 @@
 	return refusal
 }
 
-// reportCompleted notes that a server has run the call to the end.
+// reportCompleted reports to the quarantine that a server has run the call to completion.
 func (r *run) reportCompleted(now time.Time) {
 	if r.options.Quarantine != nil {
 		r.options.Quarantine.Answered(r.content, now)
 	}
 }
 
-// reportBroken tells that an attempt that was sent at a time has ended with its connection.
+// reportBroken reports to the quarantine that the connection of an attempt broke.
 func (r *run) reportBroken(server backend.Entry, result result, sent, at time.Time) {
 	if !result.connBroken || r.options.Quarantine == nil {
 		return
@@ -247,7 +246,7 @@
 	return nil
 }
 
-// runAttempts tries servers until the call has its answer or must be given up.
+// runAttempts makes attempts until the call has an answer or must be given up.
 func (r *run) runAttempts(ctx context.Context) error {
 	ctx, cancel := context.WithDeadlineCause(ctx, r.call.Deadline(), errTimeout)
 	defer cancel()
@@ -294,7 +293,7 @@
 	}
 }
 
-// refuseNoServer refuses a call for which no server may be picked.
+// refuseNoServer refuses a call for which no server can be picked.
 func (r *run) refuseNoServer(now time.Time) *Refusal {
 	wait, found := r.options.View.RetryAfter(r.need(), now)
 	if !found {
@@ -303,7 +302,7 @@
 	return &Refusal{Status: http.StatusServiceUnavailable, Reason: "backend servers rest or are at the limits that they name", RetryAfter: max(retryAfterTransient, wait)}
 }
 
-// countDemand counts the call's demand, once.
+// countDemand counts the call as demand for its service, once.
 func (r *run) countDemand(choice *backend.Choice, now time.Time) {
 	if r.demandCounted {
 		return
@@ -312,8 +311,8 @@
 	r.options.Demand.Asked(r.call.Service, choice.Load, now)
 }
 
-// refuseTooLate refuses a call whose first answer would come so late that another
-// caller is better served by the same work.
+// refuseTooLate refuses a call whose predicted first answer is so late that the capacity
+// is better used for another caller.
 func (r *run) refuseTooLate(choice *backend.Choice, now time.Time) *Refusal {
 	if r.call.Prompt == nil || r.mayHaveRun() || !choice.Calibrated {
 		return nil
@@ -331,8 +330,8 @@
 	}
 }
 
-// overdue reports whether the caller first tried so long ago that its answer is late
-// whatever happens.
+// overdue reports whether the caller first tried so long ago that its answer will be late
+// in any case.
 func (r *run) overdue() bool { return route.Overdue(r.callerAge, r.call.Route.Target) }
 
 func (r *run) need() backend.Need {
@@ -345,8 +344,7 @@
 	return need
 }
 
-// checkAttempt returns nil when another attempt may begin, as far as the call itself
-// is concerned.
+// checkAttempt returns nil if the state of the call allows another attempt.
 func (r *run) checkAttempt(now time.Time) *Refusal {
 	refusal := &Refusal{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterTransient}
 	switch {
@@ -366,8 +364,8 @@
 	return refusal
 }
 
-// giveUp makes the final answer true: only a request that has not run is
-// refused with 503.
+// giveUp sets the status according to whether the request may have run: only a request that
+// has not run is refused with 503.
 func (r *run) giveUp(ctx context.Context, refusal *Refusal) error {
 	if errors.Is(context.Cause(ctx), context.Canceled) {
 		_ = r.step(request.StepCancel)
--- a/internal/forward/metrics.go
+++ b/internal/forward/metrics.go
@@ -6,21 +6,20 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics count the calls of a daemon.
+// Metrics holds the metrics of forwarded calls.
 type Metrics struct {
 	calls       *prometheus.CounterVec
 	duration    *prometheus.HistogramVec
 	firstAnswer *prometheus.HistogramVec
-	// violations count broken invariants; the program has a fault when there is
-	// one.
+	// violations counts violated invariants. Any violation is a bug in this program.
 	violations prometheus.Counter
 }
 
-// latencyBuckets are in seconds, around the targets of today's routes (0.1 s
-// for plain calls, 0.8 to 1.2 s to the first event).
+// latencyBuckets are in seconds. They are centered on the usual latency targets of routes:
+// 0.1 s for plain calls and 0.8 to 1.2 s to the first event.
 var latencyBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 2, 4, 8, 15}
 
-// NewMetrics registers the metrics.
+// NewMetrics creates and registers the metrics.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/internal/forward/record.go
+++ b/internal/forward/record.go
@@ -9,7 +9,7 @@
 	"github.com/plankridge/plankridge/internal/backend"
 )
 
-// attemptRecord is an attempt as the log shows it, with what it was decided on.
+// attemptRecord is the log entry of an attempt, with the data that the routing was based on.
 type attemptRecord struct {
 	Server string `json:"server"`
 	Zone   string `json:"zone"`
@@ -17,10 +17,10 @@
 	// AtMS is when the attempt began, in milliseconds since the call arrived.
 	AtMS   int64 `json:"at_ms"`
 	TookMS int64 `json:"took_ms"`
-	// WaitMS is the predicted time to the first event, OwnMS the part of it that the
-	// request would take on an idle server, and Learned whether that comes from what was
-	// seen of the engines. Unread is the prompt tokens that the server was expected to
-	// read, and Running what it had in hand.
+	// WaitMS is the predicted time to the first event. OwnMS is the part of it that the
+	// request would take on an idle server. Learned is set if the prediction is based on
+	// measurements of the engines. Unread is the number of prompt tokens that the server was
+	// expected to process, and Running the number of requests that it was running.
 	WaitMS  int64 `json:"wait_ms"`
 	OwnMS   int64 `json:"own_ms"`
 	Learned bool  `json:"learned"`
@@ -28,15 +28,15 @@
 	Running int   `json:"running"`
 }
 
-func (r *run) recordAttempt(choice *backend.Choice, what string, begun, ended time.Time) {
+func (r *run) recordAttempt(choice *backend.Choice, result string, began, ended time.Time) {
 	r.history = append(r.history, attemptRecord{
-		Server: choice.ID, Zone: choice.Zone, Result: what,
-		AtMS: begun.Sub(r.call.Arrived).Milliseconds(), TookMS: ended.Sub(begun).Milliseconds(),
+		Server: choice.ID, Zone: choice.Zone, Result: result,
+		AtMS: began.Sub(r.call.Arrived).Milliseconds(), TookMS: ended.Sub(began).Milliseconds(),
 		WaitMS: choice.Wait.Milliseconds(), OwnMS: choice.IdleWait.Milliseconds(), Learned: choice.Calibrated, Unread: choice.PrefillTokens, Running: choice.Running,
 	})
 }
 
-// recordCall writes the line and the metrics of a call that has ended.
+// recordCall logs a completed call and updates the metrics.
 func (r *run) recordCall(ctx context.Context, err error) {
 	took := time.Since(r.call.Arrived)
 	outcome := "served"
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// eventBufferSize is the first size of the buffer for events, in bytes; an event
-	// has about 100.
+	// eventBufferSize is the initial size in bytes of the buffer for events, which have
+	// about 100 bytes each.
 	eventBufferSize = 4 << 10
-	// maxEventSize bounds one event, in bytes.
+	// maxEventSize is the maximum size of one event in bytes.
 	maxEventSize = 1 << 20
 )
 
 // errEventGap means that an event is missing in a stream.
 var errEventGap = errors.New("an event is missing in the stream")
 
-// forwardStream passes on the events of an answer, whole events only, so that another
-// server can go on after the last one.
+// forwardStream forwards the events of an answer. It forwards complete events only, so that
+// another server can resume the stream after the last one.
 func (r *run) forwardStream(ctx context.Context, choice *backend.Choice, answer *Answer) result {
 	events := newEventReader(answer.Body)
 	for {
@@ -42,7 +42,7 @@
 	}
 }
 
-// endEventRejected ends an attempt whose event could not be passed on.
+// endEventRejected ends an attempt whose event could not be forwarded.
 func (r *run) endEventRejected(err error) result {
 	if errors.Is(err, errEventGap) {
 		return r.endWithStep(request.StepLost, backend.OutcomeFailed, "event-gap")
@@ -58,8 +58,8 @@
 	return result{outcome: backend.OutcomeServed, signal: signalGood, label: strconv.Itoa(answer.Status), done: true}
 }
 
-// forwardEvent sends one event to the caller. Events that the caller has already
-// are dropped.
+// forwardEvent sends one event to the caller. Events that the caller already has are
+// dropped.
 func (r *run) forwardEvent(choice *backend.Choice, answer *Answer, event []byte) error {
 	now := time.Now()
 	if !r.headerSent {
@@ -89,12 +89,12 @@
 	return nil
 }
 
-// isNewEvent reports whether an event is new to the caller. It fails when an event
+// isNewEvent reports whether the caller does not have an event yet. It fails if an event
 // between the last one and this one is missing.
 func (r *run) isNewEvent(id int) (bool, error) {
 	last, err := strconv.Atoi(r.lastEventID)
 	if err != nil {
-		// The first event of a stream: there is nothing that it must follow.
+		// This is the first event of the stream, so there is no gap to check.
 		return true, nil
 	}
 	if id <= last {
@@ -106,7 +106,7 @@
 	return true, nil
 }
 
-// eventID returns the number of an event.
+// eventID returns the numeric ID of an event.
 func eventID(event []byte) (int, bool) {
 	for _, line := range bytes.Split(event, []byte("\n")) {
 		value, found := bytes.CutPrefix(bytes.TrimRight(line, "\r"), []byte("id:"))
@@ -119,7 +119,7 @@
 	return 0, false
 }
 
-// eventReader splits a body into whole events.
+// eventReader splits a body into complete events.
 type eventReader struct{ scanner *bufio.Scanner }
 
 func newEventReader(body io.Reader) *eventReader {
@@ -129,7 +129,7 @@
 	return r
 }
 
-// splitEvents is a bufio.SplitFunc for events with their empty line.
+// splitEvents is a bufio.SplitFunc that returns events including their terminating empty line.
 func splitEvents(data []byte, atEOF bool) (int, []byte, error) {
 	end := -1
 	if i := bytes.Index(data, []byte("\n\n")); i >= 0 {
@@ -147,8 +147,8 @@
 	return 0, nil, nil
 }
 
-// next returns the next whole event, io.EOF at the end of a whole answer, or
-// the error that broke the stream.
+// next returns the next complete event, io.EOF at the end of a complete answer, or the error
+// that broke the stream.
 func (r *eventReader) next() ([]byte, error) {
 	if r.scanner.Scan() {
 		return r.scanner.Bytes(), nil
--- a/internal/forward/version.go
+++ b/internal/forward/version.go
@@ -10,10 +10,10 @@
 	"github.com/plankridge/plankridge/internal/rollout"
 )
 
-// versionSalt keeps the draw of a version apart from the draw of servers.
+// versionSalt makes the draw of the version independent of the draw of servers.
 const versionSalt = "version|"
 
-// chooseVersion decides whether the first attempt goes to the version that a roll-out tries.
+// chooseVersion decides whether the first attempt goes to the candidate version of a roll-out.
 func (r *run) chooseVersion() {
 	if r.options.RollOuts == nil {
 		return
@@ -22,15 +22,15 @@
 	r.candidate = r.options.RollOuts.Asked(r.call.Service, r.call.Route.Name, !r.call.Route.MayRepeat(), draw, time.Now())
 }
 
-// chooseRetryVersion decides the same for a later attempt: it goes where the version is known, unless
-// all requests have moved on.
+// chooseRetryVersion decides whether a retry goes to the candidate version. Retries use the
+// stable version unless all requests have moved to the candidate.
 func (r *run) chooseRetryVersion() {
 	if r.options.RollOuts != nil {
 		r.candidate = r.options.RollOuts.Moved(r.call.Service, time.Now())
 	}
 }
 
-// reportToRollOut tells how a server answered, for the comparison of versions.
+// reportToRollOut reports the result of an answer for the comparison of versions.
 func (r *run) reportToRollOut(choice *backend.Choice, ended result, took time.Duration) {
 	if r.options.RollOuts == nil || ended.signal == signalNone {
 		return
