--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -10,7 +10,7 @@
 	"github.com/plankridge/plankridge/internal/route"
 )
 
-// adviceHandler returns the handler of the advice in the response to an attempt that begins now.
+// adviceHandler returns a handler for the load advice in the response to an attempt that begins now.
 func (d *Dispatcher) adviceHandler(server route.Server) func(advice.Advice) {
 	sent := time.Now()
 	return func(a advice.Advice) {
@@ -24,19 +24,19 @@
 	}
 }
 
-// notifyAdvice informs other daemons.
+// notifyAdvice reports a change of advice to other daemons.
 func (d *Dispatcher) notifyAdvice() {
 	if d.options.OnAdviceChanged != nil {
 		d.options.OnAdviceChanged()
 	}
 }
 
-// restartPollInterval is the time between two looks at whether a server that leaves has ended, or another
-// process has taken its place.
+// restartPollInterval is the time between two checks whether the process of a leaving server
+// has ended or was replaced by another one.
 const restartPollInterval = time.Second
 
-// awaitRestart waits until the process of a server that leaves has ended and another one listens in
-// its place, which the list of VMs does not tell.
+// awaitRestart waits until the process of a leaving server has ended and another process
+// listens at its address. The VM list does not show this.
 func (d *Dispatcher) awaitRestart(server route.Server) {
 	ended := false
 	ticker := time.NewTicker(restartPollInterval)
@@ -58,7 +58,7 @@
 	}
 }
 
-// isListening reports whether a process listens at a server's address.
+// isListening reports whether a process listens at an address.
 func (d *Dispatcher) isListening(address string) bool {
 	if d.options.Dial == nil {
 		return true
@@ -73,7 +73,7 @@
 	return true
 }
 
-// refuseNoServer refuses a request for which no server may be picked.
+// refuseNoServer refuses a request for which no server can be picked.
 func (d *Dispatcher) refuseNoServer(spec *request.Spec, now time.Time) *Refusal {
 	wait, found := d.options.Registry.AtLimit(spec.Service, now)
 	if !found {
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -19,10 +19,10 @@
 	ctx, stop := context.WithTimeoutCause(ctx, d.options.Limits.PlainTryLimit.Std(), errSilent)
 	defer stop()
 	if flight.spec.Idempotent() {
-		var leave context.CancelCauseFunc
-		ctx, leave = context.WithCancelCause(ctx)
-		defer leave(nil)
-		go cancelOnEvacuate(ctx, slot.Evacuate, leave)
+		var cancel context.CancelCauseFunc
+		ctx, cancel = context.WithCancelCause(ctx)
+		defer cancel(nil)
+		go cancelOnEvacuate(ctx, slot.Evacuate, cancel)
 	}
 	spec := flight.spec.Plain
 	answer, err := d.options.Plain.Do(ctx, choice.Server.Address, plain.Call{
@@ -54,7 +54,7 @@
 	return result{step: request.StepLost, connBroken: ctx.Err() == nil}
 }
 
-// cancelOnEvacuate ends an attempt when its server has to be left.
+// cancelOnEvacuate cancels an attempt when its server must be evacuated.
 func cancelOnEvacuate(ctx context.Context, evacuate <-chan struct{}, cancel context.CancelCauseFunc) {
 	select {
 	case <-evacuate:
@@ -94,7 +94,7 @@
 	return failure
 }
 
-// modelFailure maps an engine error to the step that it means.
+// modelFailure maps an engine error to the resulting step.
 func modelFailure(err error) result {
 	switch {
 	case errors.Is(err, engine.ErrNotSent):
@@ -132,9 +132,8 @@
 	return attempt
 }
 
-// cancelAtEngine frees the engine from an attempt that nobody follows any
-// more. The closed connection tells it too; the call covers an engine that
-// does not notice.
+// cancelAtEngine cancels an attempt at the engine that is no longer needed. The closed
+// connection normally does so too; the call covers engines that do not notice the close.
 func (d *Dispatcher) cancelAtEngine(address string, flight *Flight) {
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
@@ -143,7 +142,7 @@
 	}
 }
 
-// modelStream takes the events of one attempt.
+// modelStream processes the events of one attempt.
 type modelStream struct {
 	dispatcher *Dispatcher
 	flight     *Flight
@@ -154,7 +153,8 @@
 	finish     *request.Finish
 }
 
-// matches checks an event's identity. A mismatched event is dropped and counted.
+// matches checks the identity of an event. An event of another request or attempt is
+// dropped and counted.
 func (s *modelStream) matches(event *engine.Event) bool {
 	if event.RequestID == string(s.flight.spec.ID) && event.Number == s.attempt {
 		return true
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,5 @@
-// Package dispatch runs accepted requests: it picks a backend server for each
-// attempt, streams the answer into the flight that readers follow, and tries
-// again where that is safe.
+// Package dispatch runs accepted requests. It picks a backend server for each attempt,
+// streams the answer into a Flight that readers can follow, and retries where that is safe.
 package dispatch
 
 import (
@@ -28,7 +27,7 @@
 	"github.com/plankridge/plankridge/internal/route"
 )
 
-// Options are what a Dispatcher works with.
+// Options holds the dependencies and settings of a Dispatcher.
 type Options struct {
 	DaemonID   string
 	Zone       string
@@ -39,22 +38,21 @@
 	Plain      plain.Service
 	Replicator Replicator
 	Burn       *burn.Recorder
-	// Quarantine holds back requests that end servers. Without one the dispatcher makes its own,
-	// which hears of no other daemon.
+	// Quarantine blocks requests that crash servers. If nil, the dispatcher uses its own,
+	// which receives no reports from other daemons.
 	Quarantine *watch.Watch
-	// Dial opens a connection to a server, which shows whether anybody listens there.
+	// Dial opens a connection to a server, to check whether a process listens there.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// OnAdviceChanged is called when a server's answer has changed what it takes. Nil calls nothing.
+	// OnAdviceChanged is called when advice in an answer has changed a server's state. It may be nil.
 	OnAdviceChanged func()
 	Logger          *slog.Logger
 	Registerer      prometheus.Registerer
-	// PrepareKeyed returns what has to be done before the first attempt of a
-	// request with a key that was taken over.
+	// PrepareKeyed returns the function to run before the first attempt of a request that has
+	// an idempotency key and was taken over from another daemon.
 	PrepareKeyed func(request.Spec) func(context.Context) error
-	// OnKeyedEnd is called when a request with a key has ended at this daemon.
+	// OnKeyedEnd is called when a request with an idempotency key has ended at this daemon.
 	OnKeyedEnd func(request.Spec, *request.PlainAnswer, *request.Failure)
-	// OnViolation is called when the program breaks an invariant; tests make
-	// it fatal.
+	// OnViolation is called when an invariant is violated; tests make that fatal.
 	OnViolation func(error)
 }
 
@@ -73,7 +71,7 @@
 	active    sync.WaitGroup
 }
 
-// New returns a dispatcher.
+// New returns a Dispatcher.
 func New(options Options) *Dispatcher {
 	if options.Quarantine == nil {
 		options.Quarantine = watch.New(watch.Options{Logger: options.Logger})
@@ -88,35 +86,34 @@
 	}
 }
 
-// Refusal says why a request was not accepted. A refused request has not run.
+// Refusal is the reason why a request was not accepted. A refused request has not run.
 type Refusal struct {
 	Status     int
 	Detail     string
 	RetryAfter time.Duration
-	// Elsewhere means that another daemon would take the request at once.
+	// Elsewhere means that another daemon can accept the request immediately.
 	Elsewhere bool
 }
 
-// noServerRetryAfter is the advice when a service has no server.
+// noServerRetryAfter is the Retry-After value for a service without a server.
 const noServerRetryAfter = 5 * time.Second
 
-// Submit admits a request and starts it. The ID and the time of acceptance are
-// filled in. A refusal means that nothing has run and nothing will.
+// Submit admits a request and starts it. It sets the ID and the time of acceptance. If it
+// returns a refusal, the request has not run and will not run.
 func (d *Dispatcher) Submit(spec request.Spec) (*Flight, *Refusal) {
 	spec.ID = d.NewID()
 	return d.SubmitPrepared(spec, nil)
 }
 
-// NewID returns the ID of a request that this daemon will accept.
+// NewID returns a new ID for a request that this daemon accepts.
 func (d *Dispatcher) NewID() request.ID {
 	var random [16]byte
 	_, _ = rand.Read(random[:])
 	return request.NewID(d.options.DaemonID, random)
 }
 
-// SubmitPrepared is Submit for a specification that has its ID. prepare, when
-// not nil, runs after acceptance and before the first attempt; if it fails, no
-// attempt is made.
+// SubmitPrepared is like Submit for a specification that already has an ID. prepare, if not
+// nil, runs after acceptance and before the first attempt. If it fails, no attempt is made.
 func (d *Dispatcher) SubmitPrepared(spec request.Spec, prepare func(context.Context) error) (*Flight, *Refusal) {
 	now := time.Now()
 	if refusal := cmp.Or(d.refuseQuarantined(&spec, now), d.refuseForWait(&spec, now)); refusal != nil {
@@ -141,14 +138,14 @@
 	return flight, nil
 }
 
-// refuseForWait refuses what would wait for longer than its route allows.
+// refuseForWait refuses a request whose predicted queue wait exceeds the target of its route.
 func (d *Dispatcher) refuseForWait(spec *request.Spec, now time.Time) *Refusal {
 	choice, ok := d.pick(spec, nil, now)
 	if !ok {
 		return d.refuseNoServer(spec, now)
 	}
-	if most := spec.Route.Targets.QueueWait.Std(); choice.Wait > most {
-		return &Refusal{Status: http.StatusServiceUnavailable, Detail: "predicted wait is too long", RetryAfter: choice.Wait - most}
+	if maxWait := spec.Route.Targets.QueueWait.Std(); choice.Wait > maxWait {
+		return &Refusal{Status: http.StatusServiceUnavailable, Detail: "predicted wait is too long", RetryAfter: choice.Wait - maxWait}
 	}
 	return nil
 }
@@ -176,15 +173,15 @@
 	go func() {
 		defer d.active.Done()
 		defer cancel(nil)
-		limited, stop := context.WithTimeoutCause(ctx, d.options.Limits.MaxWork.Std(), errWorkTooLong)
+		runCtx, stop := context.WithTimeoutCause(ctx, d.options.Limits.MaxWork.Std(), errWorkTooLong)
 		defer stop()
-		d.run(limited, flight)
+		d.run(runCtx, flight)
 		d.finish(flight)
 	}()
 	return nil
 }
 
-// pick asks the router for a server.
+// pick picks a server for a request.
 func (d *Dispatcher) pick(spec *request.Spec, tried map[string]bool, now time.Time) (route.Choice, bool) {
 	need := route.Need{Zone: d.options.Zone, Tried: tried, Target: spec.Route.Targets.FirstToken.Std()}
 	return route.Pick(d.options.Registry.Candidates(spec.Service, promptTokens(spec), now), need)
@@ -197,7 +194,7 @@
 	return prefix.CountTokens(spec.Model.Prompt)
 }
 
-// finish counts an ended request and keeps its answer for late readers.
+// finish counts an ended request and retains its answer for late readers.
 func (d *Dispatcher) finish(flight *Flight) {
 	d.options.Limiter.Release(flight.spec.Workspace)
 	d.metrics.inFlight.Dec()
@@ -216,8 +213,8 @@
 	}
 }
 
-// notifyKeyedEnd tells the end of a request with a key. One that moved away ends
-// elsewhere.
+// notifyKeyedEnd reports the end of a request with an idempotency key. A request that was
+// handed over is reported by its new owner.
 func (d *Dispatcher) notifyKeyedEnd(flight *Flight) {
 	flight.mu.Lock()
 	last := flight.lastEvent
@@ -228,7 +225,7 @@
 	d.options.OnKeyedEnd(flight.spec, last.Plain, last.Failure)
 }
 
-// forget drops a request that another daemon owns now.
+// forget removes a request that was handed over to another daemon.
 func (d *Dispatcher) forget(flight *Flight) {
 	d.metrics.requests.WithLabelValues(flight.spec.Service, string(request.StateHandedOver)).Inc()
 	d.mu.Lock()
@@ -241,7 +238,7 @@
 		"service", flight.spec.Service, "attempt", flight.attempts())
 }
 
-// retain holds a finished answer within the limits of time and memory.
+// retain keeps a finished answer, and drops the oldest ones beyond the time and memory limits.
 func (d *Dispatcher) retain(flight *Flight) {
 	size := flight.size()
 	d.mu.Lock()
@@ -274,7 +271,7 @@
 	return flight, nil
 }
 
-// Drain stops taking requests and waits until every accepted one has ended.
+// Drain stops accepting requests and waits until all accepted requests have ended.
 func (d *Dispatcher) Drain(ctx context.Context) error {
 	d.mu.Lock()
 	d.draining = true
@@ -292,10 +289,10 @@
 	}
 }
 
-// Stop ends every request at once, as the death of the process would.
+// Stop cancels all requests immediately, as a crash of the process would.
 func (d *Dispatcher) Stop() { d.stop(errStopped) }
 
-// violated reports a broken invariant.
+// violated reports a violated invariant.
 func (d *Dispatcher) violated(flight *Flight, err error) {
 	d.metrics.violations.Inc()
 	d.log(flight).Error("invariant violated", "error", err)
@@ -304,15 +301,15 @@
 	}
 }
 
-// Load returns the number of requests that have not ended, and whether the
-// daemon takes no more.
+// Load returns the number of requests that have not ended, and whether the daemon has
+// stopped accepting requests.
 func (d *Dispatcher) Load() (inFlight int, draining bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.flights) - len(d.finished), d.draining
 }
 
-// Hold keeps the finished answer of another daemon's request.
+// Hold retains the finished answer of another daemon's request.
 func (d *Dispatcher) Hold(spec request.Spec, tokens []string, last Event) {
 	flight := newFlight(spec)
 	flight.heldForPeer = true
@@ -321,8 +318,8 @@
 	d.retain(flight)
 }
 
-// HandOverAnswers gives each finished answer that nobody has read to another daemon.
-// It is called after Drain.
+// HandOverAnswers transfers all finished answers that have not been read to other daemons.
+// Call it after Drain.
 func (d *Dispatcher) HandOverAnswers(ctx context.Context) {
 	d.mu.Lock()
 	finished := append([]*Flight(nil), d.finished...)
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -6,7 +6,7 @@
 var (
 	// ErrNotFound means that this daemon does not hold the request.
 	ErrNotFound = errors.New("request not found")
-	// ErrDraining means that the daemon takes no more requests.
+	// ErrDraining means that the daemon accepts no more requests.
 	ErrDraining = errors.New("daemon is shutting down")
 
 	errTokenGap     = errors.New("engine left out a token")
--- a/internal/dispatch/flight.go
+++ b/internal/dispatch/flight.go
@@ -9,8 +9,8 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// Event is a part of an answer. Exactly one of the pointers is set on the last
-// event of a request; before that, events carry tokens.
+// Event is a part of an answer. The last event of a request sets one of Finish, Plain,
+// Failure and Moved. All earlier events carry tokens.
 type Event struct {
 	// Offset is the number of tokens up to and including this one.
 	Offset  int
@@ -18,16 +18,16 @@
 	Finish  *request.Finish
 	Plain   *request.PlainAnswer
 	Failure *request.Failure
-	// Moved says that the answer goes on at another daemon.
+	// Moved means that the answer continues at another daemon.
 	Moved bool
 }
 
-// Last reports whether no event follows.
+// Last reports whether this is the last event.
 func (e *Event) Last() bool {
 	return e.Finish != nil || e.Plain != nil || e.Failure != nil || e.Moved
 }
 
-// Status is the state of a request for its caller.
+// Status is the state of a request as reported to its caller.
 type Status struct {
 	Spec     request.Spec
 	State    request.State
@@ -36,23 +36,22 @@
 	Outcome  request.Outcome
 }
 
-// Source is an answer that can be read: a flight of this daemon, or one at a
-// peer.
+// Source is a readable answer, either a Flight of this daemon or a request at a peer.
 type Source interface {
-	// Status returns the present state.
+	// Status returns the current state.
 	Status(ctx context.Context) (Status, error)
-	// Follow passes on the events after an offset until the last one.
+	// Follow passes all events after an offset to sink, up to and including the last one.
 	Follow(ctx context.Context, after int, sink func(Event) error) error
 }
 
-// Flight is one accepted request with its answer so far. It runs on while its
-// readers come and go.
+// Flight is one accepted request with the answer produced so far. It keeps running while
+// readers attach and detach.
 type Flight struct {
 	spec request.Spec
-	// content tells requests that ask the same.
+	// content is the identity by which the quarantine recognizes identical requests.
 	content quarantine.Content
 	done    chan struct{}
-	// firstToken is the time from acceptance to the first token. Only the
+	// firstToken is the time from acceptance to the first token. Only the goroutine of the
 	// running attempt uses it.
 	firstToken time.Duration
 	// prepare runs before the first attempt.
@@ -65,17 +64,16 @@
 	changed   chan struct{}
 	endedAt   time.Time
 	cancel    context.CancelCauseFunc
-	// grace, when not nil, cancels the request some time after its last reader
-	// has gone.
+	// graceTimer, if not nil, cancels the request after it had no reader for the grace period.
 	graceTimer *time.Timer
 	readers    int
-	// answerRead is true when a reader has seen the end.
+	// answerRead is set once a reader has received the last event.
 	answerRead bool
 	// heldForPeer marks the answer of another daemon's request.
 	heldForPeer bool
-	// redirectReaders sends readers to another daemon while the request stays here.
+	// redirectReaders sends readers to another daemon while the request keeps running here.
 	redirectReaders bool
-	// backup is the daemon with a copy of copiedTokens tokens.
+	// backup is the daemon that has a copy with the first copiedTokens tokens.
 	backup       string
 	copiedTokens int
 }
@@ -93,7 +91,7 @@
 // ID returns the request's ID.
 func (f *Flight) ID() request.ID { return f.spec.ID }
 
-// Spec returns what the caller asked for.
+// Spec returns the request's specification.
 func (f *Flight) Spec() *request.Spec { return &f.spec }
 
 // Done returns a channel that is closed when the request has ended.
@@ -123,7 +121,7 @@
 	return status
 }
 
-// finalState returns the final state that an answer's last event means.
+// finalState returns the final state and outcome that the last event of an answer implies.
 func finalState(last *Event) (request.State, request.Outcome) {
 	if last.Failure == nil {
 		return request.StateAnswered, request.OutcomeOK
@@ -134,7 +132,7 @@
 	return request.StateFailed, last.Failure.Outcome
 }
 
-// size estimates the memory that a finished flight holds, in bytes.
+// size estimates the memory of a finished flight in bytes.
 func (f *Flight) size() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -146,28 +144,28 @@
 	return size
 }
 
-// notifyReaders tells the readers that there is more; the caller holds the lock.
+// notifyReaders wakes the readers after a change. The caller must hold f.mu.
 func (f *Flight) notifyReaders() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// Follow implements Source. While the daemon is leaving, it may end with an
-// event that sends the reader to another daemon.
+// Follow implements Source. While the daemon is leaving, the stream may end with an event
+// that redirects the reader to another daemon.
 func (f *Flight) Follow(ctx context.Context, after int, sink func(Event) error) error {
 	return f.follow(ctx, after, true, sink)
 }
 
-// FollowToEnd is Follow for readers at other daemons, which are not sent away.
+// FollowToEnd is like Follow, for readers at other daemons, which are not redirected.
 func (f *Flight) FollowToEnd(ctx context.Context, after int, sink func(Event) error) error {
 	return f.follow(ctx, after, false, sink)
 }
 
-func (f *Flight) follow(ctx context.Context, after int, here bool, sink func(Event) error) error {
+func (f *Flight) follow(ctx context.Context, after int, local bool, sink func(Event) error) error {
 	f.attach()
 	defer f.detach()
 	for {
-		events, changed := f.eventsAfter(after, here)
+		events, changed := f.eventsAfter(after, local)
 		for i := range events {
 			if err := sink(events[i]); err != nil {
 				return err
@@ -189,7 +187,7 @@
 	}
 }
 
-func (f *Flight) eventsAfter(after int, here bool) ([]Event, <-chan struct{}) {
+func (f *Flight) eventsAfter(after int, local bool) ([]Event, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var events []Event
@@ -199,7 +197,7 @@
 	switch {
 	case f.lastEvent != nil:
 		events = append(events, *f.lastEvent)
-	case f.redirectReaders && here:
+	case f.redirectReaders && local:
 		events = append(events, Event{Offset: len(f.tokens), Moved: true})
 	}
 	return events, f.changed
@@ -214,8 +212,8 @@
 	}
 }
 
-// detach counts a reader out. When the last one has gone, an idempotent
-// request that somebody waits for is cancelled after a grace.
+// detach unregisters a reader. When the last reader has detached, an idempotent request
+// with a waiting caller is cancelled after the resume grace period.
 func (f *Flight) detach() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -232,15 +230,15 @@
 	f.answerRead = !event.Moved
 }
 
-// serverEnded reports whether the request has ended.
+// hasEnded reports whether the request has ended.
 func (f *Flight) hasEnded() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lastEvent != nil
 }
 
-// requestHandOver tells the request to go to another daemon. Without effect on an
-// attempt that must not be repeated.
+// requestHandOver cancels the running attempt so that the request can be handed over. It does
+// nothing if the request is not idempotent and an attempt has begun.
 func (f *Flight) requestHandOver(cause error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -257,14 +255,14 @@
 	f.notifyReaders()
 }
 
-// close publishes the last event of a request that has taken its final step.
+// close publishes the last event of a request whose final step has already been applied.
 func (f *Flight) close(last Event, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.publish(last, now)
 }
 
-// step takes a step of the state machine.
+// step applies a step to the request's state machine.
 func (f *Flight) step(step request.Step) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -277,15 +275,15 @@
 	return f.lifecycle.Attempts()
 }
 
-// produced returns the tokens so far.
+// produced returns the tokens produced so far.
 func (f *Flight) produced() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.tokens[:len(f.tokens):len(f.tokens)]
 }
 
-// addToken appends the token with the given index. A token that is there
-// already is dropped; a gap is an error of the stream.
+// addToken appends the token with the given index. A duplicate is dropped; a gap is an
+// error of the stream.
 func (f *Flight) addToken(index int, token string) (first bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -303,7 +301,7 @@
 	return len(f.tokens) == 1, nil
 }
 
-// end takes the final step and publishes the last event.
+// end applies the final step and publishes the last event.
 func (f *Flight) end(step request.Step, last Event, now time.Time) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -17,24 +17,24 @@
 	"github.com/plankridge/plankridge/internal/route"
 )
 
-// quarantineRetryAfter is the advice to callers whose request ends the servers that run it: by then somebody
-// may have looked at it.
+// quarantineRetryAfter is the Retry-After value for a request that crashes servers. It leaves
+// operators time to look into it.
 const quarantineRetryAfter = 30 * time.Second
 
-// ContentOf returns what tells requests that ask the same.
+// ContentOf returns the identity by which the quarantine recognizes identical requests.
 func ContentOf(spec *request.Spec) quarantine.Content {
 	if spec.Plain != nil {
 		return quarantine.ContentOf(spec.Workspace, spec.Plain.Method, spec.Service, spec.Plain.Path, spec.Plain.Body)
 	}
-	asked, err := json.Marshal(spec.Model)
+	encoded, err := json.Marshal(spec.Model)
 	if err != nil {
 		// Strings, numbers and bytes can always be encoded.
 		panic(err)
 	}
-	return quarantine.ContentOf(spec.Workspace, string(spec.Kind), spec.Service, "", asked)
+	return quarantine.ContentOf(spec.Workspace, string(spec.Kind), spec.Service, "", encoded)
 }
 
-// refuseQuarantined refuses a request that is held back.
+// refuseQuarantined refuses a request that the quarantine blocks.
 func (d *Dispatcher) refuseQuarantined(spec *request.Spec, now time.Time) *Refusal {
 	if !d.options.Quarantine.Barred(ContentOf(spec), now) {
 		return nil
@@ -42,8 +42,8 @@
 	return &Refusal{Status: http.StatusServiceUnavailable, Detail: errEndsServers.Error(), RetryAfter: quarantineRetryAfter}
 }
 
-// checkQuarantine reports why a request may not be sent to a server, once more where an attempt has
-// broken.
+// checkQuarantine returns an error if the quarantine forbids the next attempt. A retry
+// after a broken attempt is held to a stricter rule than a first attempt.
 func (d *Dispatcher) checkQuarantine(flight *Flight, now time.Time) error {
 	switch {
 	case d.options.Quarantine.Barred(flight.content, now):
@@ -54,7 +54,8 @@
 	return nil
 }
 
-// reportBroken tells that an attempt has ended with its connection: its server may have ended.
+// reportBroken reports to the quarantine that the connection of an attempt broke: the
+// server may have ended.
 func (d *Dispatcher) reportBroken(flight *Flight, server route.Server, sent, at time.Time) {
 	d.options.Quarantine.Broke(watch.Server{
 		Key: serverEndKey(server.ID, at), ID: server.ID, Service: flight.spec.Service,
@@ -62,14 +63,15 @@
 	}, quarantine.Lost{Content: flight.content, Sent: sent}, false, at)
 }
 
-// serverEndKey names the end of a server. A process that starts again keeps its VM's ID, and the
-// list of VMs does not tell its starts apart; the attempts that one end breaks, break within
-// milliseconds, and no process is back within a second.
+// serverEndKey identifies one end of a server's process. A restarted process keeps the ID of
+// its VM, and the VM list does not distinguish its restarts, so the key includes the second of
+// the end. All attempts that one end breaks fail within milliseconds, and no process restarts
+// within a second.
 func serverEndKey(id string, at time.Time) quarantine.Server {
 	return quarantine.Server(xxhash.Sum64String(id + "/" + strconv.FormatInt(at.Unix(), 10)))
 }
 
-// serverEnded asks whether nobody listens any more at a server's address.
+// serverEnded reports whether the connection to a server's address is refused.
 func (d *Dispatcher) serverEnded(ctx context.Context, address string) bool {
 	if d.options.Dial == nil {
 		return false
--- a/internal/dispatch/replicate.go
+++ b/internal/dispatch/replicate.go
@@ -10,43 +10,43 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// Copy is what a backup is told of a request.
+// Copy is the state of a request that is sent to a backup daemon.
 type Copy struct {
 	Spec request.Spec
 	// Offset is the number of tokens before Tokens.
 	Offset int
 	Tokens []string
-	// Permitted says that a non-idempotent request is about to be sent.
+	// Permitted is set when a non-idempotent request is about to be sent.
 	Permitted bool
 }
 
 // Replicator keeps copies of this daemon's requests at other daemons.
 type Replicator interface {
-	// Copy keeps a whole copy at a daemon and returns that daemon's ID.
+	// Copy stores a complete copy at a daemon and returns that daemon's ID.
 	Copy(ctx context.Context, c Copy) (backup string, err error)
-	// Extend adds tokens to the copy at a backup.
+	// Extend appends tokens to the copy at a backup.
 	Extend(ctx context.Context, backup string, c Copy) error
 	// Release drops the copy at a backup.
 	Release(ctx context.Context, backup string, id request.ID) error
-	// TakeOver makes another daemon the owner, the backup if there is one.
-	// When it returns an error, a daemon may have taken the request over.
+	// TakeOver makes another daemon the owner, preferably the backup. If it returns an error,
+	// a daemon may still have taken the request over.
 	TakeOver(ctx context.Context, backup string, c Copy) error
-	// Hold gives a finished answer to a daemon that keeps it.
+	// Hold transfers a finished answer to a daemon that retains it.
 	Hold(ctx context.Context, spec request.Spec, tokens []string, last Event) error
 }
 
 const (
-	// copyDelay is the age at which an idempotent request that its caller
-	// waits for is copied. Until then the caller, whose connection breaks with
-	// the daemon, is no worse off than with a daemon that refused.
+	// copyDelay is the age at which an idempotent request with a waiting caller is copied.
+	// If the daemon fails before that, the caller's connection breaks and the caller is no worse
+	// off than after a refusal.
 	copyDelay = 250 * time.Millisecond
 	// extendInterval is the time between two updates of a copy.
 	extendInterval = time.Second
-	// copyTimeout bounds one message to a backup, all tries included.
+	// copyTimeout bounds one message to a backup, including retries.
 	copyTimeout = 2 * time.Second
 )
 
-// replicate keeps a copy of an idempotent request up to date until it ends.
+// replicate keeps the copy of an idempotent request up to date until the request ends.
 func (d *Dispatcher) replicate(flight *Flight) {
 	wait := copyDelay
 	for {
@@ -63,7 +63,7 @@
 	}
 }
 
-// refreshCopy makes the copy of a request, or brings it up to date.
+// refreshCopy creates the copy of a request or updates it.
 func (d *Dispatcher) refreshCopy(flight *Flight) {
 	ctx, cancel := context.WithTimeout(d.ctx, copyTimeout)
 	defer cancel()
@@ -79,7 +79,7 @@
 	backup, err := d.options.Replicator.Copy(ctx, Copy{Spec: flight.spec, Tokens: tokens})
 	if err != nil {
 		d.metrics.uncopied.Inc()
-		d.log(flight).Warn("request has no copy", "error", err)
+		d.log(flight).Warn("cannot copy request to a backup daemon", "error", err)
 		return
 	}
 	flight.setCopyState(backup, len(tokens))
@@ -91,17 +91,17 @@
 	if backup == "" || flight.movedAway() {
 		return
 	}
-	// A daemon that is stopped has not ended its requests: the copies stay.
+	// Stopping the daemon does not end its requests: their copies must remain, so d.ctx applies.
 	ctx, cancel := context.WithTimeout(d.ctx, copyTimeout)
 	defer cancel()
 	if err := d.options.Replicator.Release(ctx, backup, flight.spec.ID); err != nil {
-		d.log(flight).Debug("copy was not released", "error", err)
+		d.log(flight).Debug("cannot release the copy of a request", "error", err)
 	}
 }
 
-// permit tells a backup that a non-idempotent request is about to be sent.
-// After that the backup can tell the caller "unknown" instead of nothing.
-// Without a reachable backup the owner goes on alone, which is counted.
+// permit sends a copy marked as permitted before a non-idempotent request is sent. If the
+// owner then dies, the backup can report the outcome "unknown" to the caller. If no backup is
+// reachable, the owner proceeds without a copy, which is counted.
 func (d *Dispatcher) permit(ctx context.Context, flight *Flight) {
 	if backup, _ := flight.copyState(); backup != "" {
 		return
@@ -111,7 +111,7 @@
 	backup, err := d.options.Replicator.Copy(ctx, Copy{Spec: flight.spec, Permitted: true})
 	if err != nil {
 		d.metrics.uncopied.Inc()
-		d.log(flight).Warn("non-idempotent request has no copy", "error", err)
+		d.log(flight).Warn("cannot copy non-idempotent request to a backup daemon", "error", err)
 		return
 	}
 	flight.setCopyState(backup, 0)
@@ -129,16 +129,15 @@
 	f.backup, f.copiedTokens = backup, tokens
 }
 
-// movedAway reports whether another daemon owns the request.
+// movedAway reports whether the request was handed over to another daemon.
 func (f *Flight) movedAway() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lifecycle.State() == request.StateHandedOver
 }
 
-// Evacuate hands every request over that has not ended. Requests that may have
-// run and must not run again stay; their readers are sent to the result, which
-// is handed over when it comes.
+// Evacuate hands over all requests that have not ended. Non-idempotent requests that may have
+// run stay here. Their readers are redirected, and the result is handed over when available.
 func (d *Dispatcher) Evacuate(ctx context.Context) {
 	d.mu.Lock()
 	d.draining = true
@@ -170,9 +169,8 @@
 	}
 }
 
-// handOver makes another daemon the owner of a request whose attempt has
-// ended. It is called by the goroutine that runs the request, so that no
-// attempt can begin meanwhile.
+// handOver makes another daemon the owner of a request whose attempt has ended. It must be
+// called by the goroutine that runs the request, so that no attempt can begin concurrently.
 func (d *Dispatcher) handOver(flight *Flight) {
 	if err := flight.step(request.StepHandOver); err != nil {
 		d.giveUp(flight, err)
@@ -186,14 +184,14 @@
 		flight.close(Event{Moved: true}, time.Now())
 		return
 	}
-	d.log(flight).Error("request was not handed over", "error", err)
+	d.log(flight).Error("cannot hand over request", "error", err)
 	outcome := request.OutcomeUnknown
 	flight.close(Event{Failure: &request.Failure{
 		Outcome: outcome, Detail: "the daemon left and no other has confirmed the request", Status: http.StatusServiceUnavailable,
 	}}, time.Now())
 }
 
-// handOverAnswer gives an ended request's answer to a daemon that keeps it.
+// handOverAnswer transfers the answer of an ended request to a daemon that retains it.
 func (d *Dispatcher) handOverAnswer(ctx context.Context, flight *Flight) {
 	flight.mu.Lock()
 	skip := flight.answerRead || flight.lastEvent == nil || flight.lastEvent.Moved
@@ -206,8 +204,8 @@
 	}
 }
 
-// Adopt makes this daemon the owner of a request that another one began.
-// Adopting a request twice is harmless.
+// Adopt makes this daemon the owner of a request that another daemon accepted. Adopting a
+// request again has no effect.
 func (d *Dispatcher) Adopt(spec request.Spec, tokens []string) error {
 	flight := newFlight(spec)
 	flight.tokens = tokens
@@ -226,13 +224,12 @@
 	return err
 }
 
-// RecordLost records that a request's owner is dead and that the request may have
-// run.
+// RecordLost records that the owner of a request is dead and that the request may have run.
 func (d *Dispatcher) RecordLost(spec request.Spec) {
 	d.Hold(spec, nil, Event{Failure: &request.Failure{
 		Outcome: request.OutcomeUnknown, Detail: "the daemon that sent the request is gone", Status: http.StatusGatewayTimeout,
 	}})
 }
 
-// isLeaving reports whether a request was told to leave this daemon.
+// isLeaving reports whether a request was cancelled because this daemon is leaving.
 func isLeaving(cause error) bool { return errors.Is(cause, errLeaving) }
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -15,22 +15,21 @@
 )
 
 const (
-	// backoffBase is the pause after the first failed attempt; it doubles up
-	// to backoffMax.
+	// backoffBase is the delay after the first failed attempt; it doubles up to backoffMax.
 	backoffBase = 50 * time.Millisecond
 	backoffMax  = 2 * time.Second
-	// cancelTimeout bounds the call that ends a request at an engine.
+	// cancelTimeout bounds the call that cancels a request at an engine.
 	cancelTimeout = 2 * time.Second
 )
 
-// result is how an attempt ended.
+// result is the outcome of an attempt.
 type result struct {
 	step request.Step
-	// connBroken is set where the other side broke the connection: the server may have ended.
+	// connBroken is set when the peer broke the connection: its process may have ended.
 	connBroken bool
-	// last is the end of the answer when step is StepAnswer.
+	// last is the last event of the answer if step is StepAnswer.
 	last Event
-	// fatal means that no further attempt can succeed.
+	// fatal is set if no further attempt can succeed.
 	fatal *request.Failure
 }
 
@@ -65,8 +64,8 @@
 	}
 }
 
-// endInterrupted ends a request whose context has ended: it goes to another daemon
-// when this one is leaving.
+// endInterrupted ends a request whose context has ended. The request is handed over to
+// another daemon if this one is leaving.
 func (d *Dispatcher) endInterrupted(flight *Flight, cause error) {
 	if isLeaving(cause) {
 		d.handOver(flight)
@@ -81,7 +80,7 @@
 	return f.lifecycle.MayDispatch()
 }
 
-// acquireServer picks a server and takes a slot on it.
+// acquireServer picks a server and acquires a slot on it.
 func (d *Dispatcher) acquireServer(flight *Flight, tried map[string]bool) (route.Choice, *discovery.Slot, bool) {
 	now := time.Now()
 	choice, ok := d.pick(&flight.spec, tried, now)
@@ -92,7 +91,7 @@
 	return choice, slot, ok
 }
 
-// awaitServerChange waits until a server may be there.
+// awaitServerChange waits until the servers have changed, or for the backoff of the round.
 func (d *Dispatcher) awaitServerChange(ctx context.Context, round int) {
 	timer := time.NewTimer(backoff(round))
 	defer timer.Stop()
@@ -148,7 +147,7 @@
 	return d.completeAttempt(flight, choice, outcome)
 }
 
-// completeAttempt takes the step that an attempt ended with.
+// completeAttempt applies the result of an attempt and reports whether the request has ended.
 func (d *Dispatcher) completeAttempt(flight *Flight, choice route.Choice, outcome result) bool {
 	now := time.Now()
 	if outcome.step == request.StepAnswer {
@@ -171,8 +170,8 @@
 	return false
 }
 
-// metTargets reports whether the answer met its route's latency targets. The time
-// between tokens is taken as the mean over the stream.
+// metTargets reports whether the answer met the latency targets of its route. The time between
+// tokens is the mean over the stream.
 func (f *Flight) metTargets(now time.Time) bool {
 	targets := f.spec.Route.Targets
 	took := now.Sub(f.spec.Accepted)
@@ -197,8 +196,7 @@
 	})
 }
 
-// provableOutcome returns the wanted outcome, or a weaker one when an attempt may have
-// run.
+// provableOutcome returns the wanted outcome, or a weaker one if an attempt may have run.
 func (f *Flight) provableOutcome(wanted request.Outcome) request.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -232,8 +230,8 @@
 	}
 }
 
-// recordBurn counts the request as good or bad against its objective. Deferrable
-// work is good when it is whole.
+// recordBurn counts the request as good or bad for its objective. A deferrable request is
+// good if it was answered, however late.
 func (d *Dispatcher) recordBurn(flight *Flight, inTime bool, now time.Time) {
 	status, _ := flight.Status(context.Background())
 	good := status.Outcome == request.OutcomeOK && (inTime || flight.spec.Class == config.ClassDeferrable)
