--- a/internal/keys/committer.go
+++ b/internal/keys/committer.go
@@ -12,26 +12,26 @@
 	"github.com/plankridge/plankridge/internal/store"
 )
 
-// logPrefix begins the keys of the log's batches in the Object API.
+// logPrefix is the prefix of all log batches in the Object API.
 const logPrefix = "log/"
 
-// writesPerSecond is the part of the Object API's writes that the log of keys
-// may use, all daemons together.
+// writesPerSecond is the share of the Object API's write rate that the key log may use,
+// summed over all daemons.
 const writesPerSecond = 300
 
 const (
-	// commitRetryDelay is the pause after a failed write.
+	// commitRetryDelay is the delay after a failed write.
 	commitRetryDelay = 500 * time.Millisecond
-	// maxBatchBytes bounds the bytes of a batch, below the platform's limit.
+	// maxBatchBytes bounds the size of a batch; it is below the platform's limit for objects.
 	maxBatchBytes = 512 << 10
 )
 
-// Committer writes records to the log in batches: while one write is under
-// way, what comes meanwhile waits for the next.
+// Committer writes records to the key log in batches. Records that arrive during a write are
+// queued for the next batch.
 type Committer struct {
 	store  store.Values
 	logger *slog.Logger
-	// name is unique among all processes that ever write.
+	// name is unique among all processes that ever write to the log.
 	name string
 
 	mu          sync.Mutex
@@ -42,32 +42,31 @@
 	wake        chan struct{}
 }
 
-// pending is a record on its way to the log.
+// pending is a record that is queued for the log or being written.
 type pending struct {
 	record Record
 	size   int
 	done   chan struct{}
 }
 
-// NewCommitter returns a committer whose batches carry the name.
+// NewCommitter returns a Committer whose batch keys contain name.
 func NewCommitter(store store.Values, name string, logger *slog.Logger) *Committer {
 	return &Committer{store: store, name: name, logger: logger, wake: make(chan struct{}, 1)}
 }
 
-// SetWriters sets the number of daemons that write, so that all together stay
-// within their part of the store's writes.
+// SetWriters sets the number of daemons that write to the log. It determines the interval
+// between batches, so that all daemons together stay within writesPerSecond.
 func (c *Committer) SetWriters(count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.interval = time.Duration(count) * time.Second / writesPerSecond
 }
 
-// Append queues a record and returns a channel that is closed when the log
-// has it.
+// Append queues a record and returns a channel that is closed when the record is in the log.
 func (c *Committer) Append(record Record) <-chan struct{} {
 	raw, err := json.Marshal(record)
 	if err != nil {
-		panic("keys: record does not encode: " + err.Error())
+		panic("keys: encode record: " + err.Error())
 	}
 	p := &pending{record: record, size: len(raw), done: make(chan struct{})}
 	c.mu.Lock()
@@ -80,7 +79,7 @@
 	return p.done
 }
 
-// Pending returns the records that the log may not have yet.
+// Pending returns the records that may not be in the log yet.
 func (c *Committer) Pending() []Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,7 +106,7 @@
 	}
 }
 
-// takeBatch moves the queue's head into the batch to write.
+// takeBatch moves the head of the queue into the next batch and reports whether there is one.
 func (c *Committer) takeBatch() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,15 +120,15 @@
 	return count > 0
 }
 
-// fits reports whether a queued record may join a batch of that size; a batch
-// belongs to one availability zone.
+// fits reports whether a queued record may be added to a batch of the given size. All records
+// of a batch belong to one availability zone.
 func (c *Committer) fits(index, size int) bool {
 	p := c.queue[index]
 	return size+p.size <= maxBatchBytes && p.record.Ref.Zone == c.queue[0].record.Ref.Zone
 }
 
-// writeBatch writes the batch, trying until the log has it. A write whose answer
-// was lost is repeated under the same name: a conflict means that it is there.
+// writeBatch retries until the batch is in the log. A write whose response was lost is repeated
+// under the same key, so a conflict means that the first write succeeded.
 func (c *Committer) writeBatch(ctx context.Context) bool {
 	c.mu.Lock()
 	c.batchNumber++
@@ -142,14 +141,14 @@
 	c.mu.Unlock()
 	raw, err := json.Marshal(records)
 	if err != nil {
-		panic("keys: batch does not encode: " + err.Error())
+		panic("keys: encode batch: " + err.Error())
 	}
 	for {
 		_, err := c.store.Put(ctx, name, raw, 0)
 		if err == nil || errors.Is(err, store.ErrConflict) {
 			break
 		}
-		c.logger.Warn("log of keys cannot be written", "error", err)
+		c.logger.Warn("cannot write to the key log", "error", err)
 		if !pause(ctx, commitRetryDelay) {
 			return false
 		}
@@ -163,12 +162,12 @@
 	return pause(ctx, interval)
 }
 
-// hourPrefix begins the keys of the batches that were written in an hour.
+// hourPrefix returns the key prefix of the batches that were written in an hour.
 func hourPrefix(zone string, at time.Time) string {
 	return fmt.Sprintf("%s%s/%d/", logPrefix, zone, at.Unix()/3600)
 }
 
-// pause waits and reports false when the context has ended.
+// pause sleeps for d. It returns false if the context ended first.
 func pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/keys/homes.go
+++ b/internal/keys/homes.go
@@ -11,28 +11,28 @@
 	"github.com/plankridge/plankridge/internal/backup"
 )
 
-// Holder is the process that holds a slot. The zero value means nobody.
+// Holder is the process that holds a slot. The zero value means that the slot is free.
 type Holder struct {
 	Daemon      string `json:"daemon,omitempty"`
 	Incarnation uint64 `json:"incarnation,omitempty"`
-	// ListedRevision is a revision of the VM list that shows the daemon's VM. Only who
-	// has read the list up to there can tell its death by its absence.
+	// ListedRevision is a revision of the VM list that contains the daemon's VM. The absence of
+	// the VM proves its death only to readers whose list is at least that recent.
 	ListedRevision int64 `json:"listed,omitempty"`
 }
 
-// sameProcess reports whether both are the same process.
+// sameProcess reports whether h and other are the same process.
 func (h Holder) sameProcess(other Holder) bool {
 	return h.Daemon == other.Daemon && h.Incarnation == other.Incarnation
 }
 
-// Homes tells who holds which slot. It is one object of the Object API,
-// changed by conditional update only.
+// Homes assigns the key slots to the processes that hold them. It is stored as one object in
+// the Object API and is only changed by conditional updates.
 type Homes struct {
 	// Zones holds SlotsPerZone holders for each availability zone.
 	Zones map[string][]Holder `json:"zones"`
-	// Enrolled are the processes that may have records which the log lacks, by
-	// daemon. A process enrols before it takes a record, and leaves when it has
-	// brought all of them to the log.
+	// Enrolled holds, by daemon, the processes that may have records that are not in the log
+	// yet. A process enrols before it accepts a record, and unenrols once all of its records are
+	// in the log.
 	Enrolled map[string]Member `json:"enrolled"`
 }
 
@@ -42,7 +42,7 @@
 	Zone string `json:"zone"`
 }
 
-// Enrol returns the homes with a process enrolled, and whether that is a change.
+// Enrol returns the homes with the process enrolled, and whether that is a change.
 func (h *Homes) Enrol(zone string, self Holder) (*Homes, bool) {
 	if h.Enrolled[self.Daemon].sameProcess(self) {
 		return h, false
@@ -61,7 +61,7 @@
 	return slots[slot]
 }
 
-// cloneWithZone returns a copy with all slots of the zone present.
+// cloneWithZone returns a copy in which all slots of the zone exist.
 func (h *Homes) cloneWithZone(zone string) *Homes {
 	next := &Homes{Zones: map[string][]Holder{}, Enrolled: map[string]Member{}}
 	maps.Copy(next.Enrolled, h.Enrolled)
@@ -74,8 +74,8 @@
 	return next
 }
 
-// FreeSlots returns the number of slots of a zone that nobody holds, or whose holder
-// is proved dead. Silence of a holder frees nothing.
+// FreeSlots returns the number of slots of a zone that are free or whose holder is proved
+// dead. A holder that merely does not respond keeps its slots.
 func (h *Homes) FreeSlots(zone string, dead func(Holder) bool) int {
 	free := 0
 	for _, holder := range h.cloneWithZone(zone).Zones[zone] {
@@ -86,10 +86,10 @@
 	return free
 }
 
-// Claim returns the homes in which self holds free slots of a zone, and whether
-// there are any: those for which it ranks first of the members by hash, or all
-// when it is eager. The rank only spreads the slots; the conditional update of
-// the homes decides who gets one.
+// Claim returns the homes after self has claimed free slots of a zone, and whether it claimed
+// any. By default self claims the slots for which it ranks first by rendezvous hashing; if
+// eager, it claims all free slots. The ranking only distributes the slots: the conditional
+// update of the homes decides which process gets a slot.
 func (h *Homes) Claim(zone string, self Holder, members []string, dead func(Holder) bool, eager bool) (*Homes, bool) {
 	next := h.cloneWithZone(zone)
 	claimed := false
@@ -103,7 +103,7 @@
 	return next, claimed
 }
 
-// Release returns the homes in which self holds nothing and is not enrolled.
+// Release returns the homes without any slots of self and without its enrolment.
 func (h *Homes) Release(zone string, self Holder) *Homes {
 	next := h.cloneWithZone(zone)
 	delete(next.Enrolled, self.Daemon)
@@ -117,13 +117,13 @@
 	return next
 }
 
-// Home is the place of a key: a slot of an availability zone.
+// Home is the slot that a key belongs to: a slot of an availability zone.
 type Home struct {
 	Zone string
 	Slot int
 }
 
-// HeldBy returns the places that self holds.
+// HeldBy returns the slots that self holds.
 func (h *Homes) HeldBy(self Holder) []Home {
 	var held []Home
 	for zone, slots := range h.Zones {
@@ -136,12 +136,12 @@
 	return held
 }
 
-// writersPerZone is the number of daemons of a zone that hold slots or keep
-// intents for those that do. Every change of the homes reaches every daemon, so
-// that their number must not grow with the daemons.
+// writersPerZone is the number of daemons of a zone that hold slots or keep intents for those
+// daemons. It is fixed because every daemon receives every change of the homes, so the number
+// of changes must not grow with the number of daemons.
 const writersPerZone = 6
 
-// Writers returns the members of a zone that hold its slots.
+// Writers returns the members of a zone that may hold its slots.
 func Writers(zone string, members []string) []string {
 	ranked := rankByHash(zone, members)
 	return ranked[:min(writersPerZone, len(ranked))]
@@ -155,7 +155,7 @@
 	return rankByHash(fmt.Sprint(zone, "/", slot), members)[0]
 }
 
-// rankByHash orders members by the hash of each with a key.
+// rankByHash orders members by the hash of each member and the key (rendezvous hashing).
 func rankByHash(key string, members []string) []string {
 	ranked := slices.Clone(members)
 	weight := func(member string) uint64 { return xxhash.Sum64String(key + "/" + member) }
@@ -163,7 +163,7 @@
 	return ranked
 }
 
-// Owner returns the holder as an owner of requests.
+// Owner returns the holder as the owner of requests.
 func (h Holder) Owner() backup.Owner {
 	return backup.Owner{Daemon: h.Daemon, Incarnation: h.Incarnation, ListedRevision: h.ListedRevision}
 }
--- a/internal/keys/key.go
+++ b/internal/keys/key.go
@@ -1,7 +1,7 @@
-// Package keys makes a request that carries an Idempotency-Key run once, at
-// whichever daemon and how often it arrives. Each key has a home: a slot of an
-// availability zone, held by one daemon of that zone. The Object API says who
-// holds which slot; docs/design/caller-keys.md gives the reasons.
+// Package keys ensures that a request with an Idempotency-Key runs once, however often
+// and at whichever daemon it arrives. Each key has a home: a slot of an availability zone that
+// one daemon of the zone holds. The Object API stores the assignment of slots to daemons. For
+// the rationale see docs/design/caller-keys.md.
 package keys
 
 import (
@@ -18,25 +18,25 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// SlotsPerZone is the number of slots of an availability zone. It bounds the
-// daemons that write intents, and so the writes, whatever the number of
-// daemons: 4 slots in 7 zones are at most 28 writers.
+// SlotsPerZone is the number of slots of an availability zone. It bounds the number of daemons
+// that write intents, and so the write rate, independently of the number of daemons: 4 slots
+// in 7 zones make at most 28 writers.
 const SlotsPerZone = 4
 
-// MaxKeyBytes is the longest key that is accepted, in bytes.
+// MaxKeyBytes is the maximum length of a key in bytes.
 const MaxKeyBytes = 255
 
-// Ref names a key.
+// Ref identifies a key.
 type Ref = request.KeyRef
 
-// Scope is what a key is unique in.
+// Scope is the namespace in which a key is unique.
 type Scope struct {
 	Workspace string
 	Service   string
 	Path      string
 }
 
-// NewRef returns the reference of a key. The zone is the workspace's home.
+// NewRef returns the reference of a key. zone is the home zone of the workspace.
 func NewRef(zone string, scope Scope, key, method string, body []byte) Ref {
 	hash := digest(scope.Workspace, scope.Service, scope.Path, key)
 	return Ref{
@@ -47,7 +47,8 @@
 	}
 }
 
-// digest hashes texts with their lengths, so that no two lists are alike.
+// digest hashes strings together with their lengths, so that different lists cannot collide
+// by concatenation.
 func digest(parts ...string) string {
 	hash := sha256.New()
 	for _, part := range parts {
@@ -59,9 +60,9 @@
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// canonicalJSON writes a JSON body with sorted members and without white space, so
-// that a client that encodes the same request anew has the same fingerprint.
-// Another body stays as it is.
+// canonicalJSON re-encodes a JSON body with sorted members and without white space, so that a
+// client that encodes the same request again gets the same fingerprint. Any other body is
+// returned unchanged.
 func canonicalJSON(body []byte) []byte {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.UseNumber()
@@ -76,8 +77,8 @@
 	return encoded
 }
 
-// HomeZone returns the availability zone that a workspace's keys live in: the
-// one that its file names, or one by hash.
+// HomeZone returns the availability zone that holds a workspace's keys: the zone named in the
+// workspace's configuration, or one chosen by hash.
 func HomeZone(d *config.Deployment, workspace *config.Workspace) string {
 	if workspace.HomeZone != "" || len(d.Zones) == 0 {
 		return workspace.HomeZone
@@ -85,7 +86,7 @@
 	return d.Zones[xxhash.Sum64String(workspace.Name)%uint64(len(d.Zones))].Name
 }
 
-// PathWithoutQuery returns the path of a call without its query.
+// PathWithoutQuery returns a path without its query.
 func PathWithoutQuery(path string) string {
 	path, _, _ = strings.Cut(path, "?")
 	return path
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -20,7 +20,7 @@
 	"github.com/plankridge/plankridge/internal/store"
 )
 
-// Randomised tests take a fixed seed unless the command line gives another.
+// Randomized tests use a fixed seed unless the command line sets another.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 func TestRefIdentifiesRequest(t *testing.T) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// TestSlotsMoveOnlyFromDeadHolders lets processes look at homes in any order.
+// TestSlotsMoveOnlyFromDeadHolders has processes claim slots in random order.
 func TestSlotsMoveOnlyFromDeadHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		homes := &Homes{}
@@ -64,12 +64,12 @@
 	})
 }
 
-// TestLedgerDoesNotDependOnOrder applies the records of a key's requests in any
-// order and repeatedly, as a log may be read.
+// TestLedgerDoesNotDependOnOrder applies the records of a key's requests in random order and
+// more than once, as they may be read from the log.
 func TestLedgerDoesNotDependOnOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// Requests of one key follow each other: a later one begins only after
-		// the earlier has not run.
+		// The requests of a key are sequential: a later one begins only after the earlier one
+		// is recorded as not run.
 		var records []Record
 		count := rapid.IntRange(1, 4).Draw(t, "requests")
 		var want Record
@@ -103,7 +103,7 @@
 	return list
 }
 
-// flakyStore loses the answer of each second write and refuses each third.
+// flakyStore refuses every third write and loses the response of every second one.
 type flakyStore struct {
 	store.Values
 	calls   int
--- a/internal/keys/manager.go
+++ b/internal/keys/manager.go
@@ -18,50 +18,50 @@
 	"github.com/plankridge/plankridge/internal/store"
 )
 
-// homesKey is the key of the homes in the Object API.
+// homesKey is the key of the homes object in the Object API.
 const homesKey = "homes"
 
 const (
-	// watchWait is how long one watch call waits.
+	// watchWait is the maximum duration of one watch call.
 	watchWait = 30 * time.Second
-	// claimInterval is the time between two looks for free slots.
+	// claimInterval is the time between two checks for free slots.
 	claimInterval = 2 * time.Second
-	// commitTimeout is how long an intent may take to reach the log before a
-	// peer is asked to keep it.
+	// commitTimeout is how long an intent may take to reach the log before a peer is asked to
+	// keep it.
 	commitTimeout = 500 * time.Millisecond
 	// cleanupInterval is the time between two removals of old batches.
 	cleanupInterval = time.Hour
 )
 
-// ErrNotKept means that neither the log nor a peer took an intent.
+// ErrNotKept means that an intent was stored neither in the log nor at a peer.
 var ErrNotKept = errors.New("the key could be recorded nowhere")
 
-// Verdict says what becomes of a request with a key.
+// Verdict is the decision on a request with a key.
 type Verdict string
 
-// The verdicts.
+// Verdicts.
 const (
 	// VerdictRun means that the request has been accepted.
 	VerdictRun Verdict = "run"
-	// VerdictInFlight means that the key's request has not ended.
+	// VerdictInFlight means that the earlier request with the key has not ended.
 	VerdictInFlight Verdict = "in-flight"
-	// VerdictReplay means that the key's request has the answer given.
+	// VerdictReplay means that the earlier request with the key has the returned answer.
 	VerdictReplay Verdict = "replay"
-	// VerdictAnswerNotKept means that the key's request has run but its answer was too
-	// large to keep.
+	// VerdictAnswerNotKept means that the earlier request with the key has run, but its answer
+	// was too large to keep.
 	VerdictAnswerNotKept Verdict = "gone"
-	// VerdictMismatch means that the key was used for another request.
+	// VerdictMismatch means that the key was used for a different request.
 	VerdictMismatch Verdict = "mismatch"
-	// VerdictUnknown means that the key's request may have run.
+	// VerdictUnknown means that the earlier request with the key may have run.
 	VerdictUnknown Verdict = "unknown"
-	// VerdictRefused means that nothing has run with this key.
+	// VerdictRefused means that no request with the key has run.
 	VerdictRefused Verdict = "refused"
-	// VerdictHomeUnreachable means that the home of the key could not be asked. This
-	// request has not run, but an earlier one with the key may have.
+	// VerdictHomeUnreachable means that the home of the key could not be reached. This request
+	// has not run, but an earlier one with the key may have.
 	VerdictHomeUnreachable Verdict = "away"
 )
 
-// Result is the answer to a request with a key.
+// Result is the response to a request with a key.
 type Result struct {
 	Verdict   Verdict              `json:"verdict"`
 	RequestID request.ID           `json:"request_id,omitempty"`
@@ -69,38 +69,38 @@
 	Refusal   *dispatch.Refusal    `json:"refusal,omitempty"`
 }
 
-// HomeUnreachable returns the result of a request whose key's home could not be asked.
+// HomeUnreachable returns the result for a request whose key's home could not be reached.
 func HomeUnreachable(detail string) Result {
 	return Result{Verdict: VerdictHomeUnreachable, Refusal: &dispatch.Refusal{
 		Status: http.StatusServiceUnavailable, Detail: detail, RetryAfter: time.Second,
 	}}
 }
 
-// Peers are the other daemons, as the manager needs them.
+// Peers provides the manager's access to other daemons.
 type Peers interface {
-	// SelfListed returns a revision of the VM list that shows this daemon's VM,
-	// and false while there is none.
+	// SelfListed returns a revision of the VM list that contains this daemon's VM, or false if
+	// there is none yet.
 	SelfListed() (int64, bool)
 	// Dead reports whether a process is proved dead.
 	Dead(Holder) bool
-	// Zones returns the availability zones whose free slots this daemon may
-	// take, each with the daemons among which the slots are divided: its own
-	// and those that are proved to have no daemon left.
+	// Zones returns the availability zones whose free slots this daemon may claim: its own
+	// zone, and zones that are proved to have no daemon left. Each zone maps to the daemons
+	// among which its slots are distributed.
 	Zones() map[string][]string
-	// Keep asks one of the daemons to bring records to the log.
+	// Keep asks one of the daemons to write records to the log.
 	Keep(ctx context.Context, daemons []string, records []Record) error
-	// Collect returns the records that a process still has to bring to the log.
+	// Collect returns the records of a process that are not in the log yet.
 	Collect(ctx context.Context, holder Holder) ([]Record, error)
-	// Forward submits a request at the holder of its key.
+	// Forward submits a request to the holder of its key.
 	Forward(ctx context.Context, holder Holder, spec request.Spec) (Result, error)
-	// Locate finds a request at this daemon or at another.
+	// Locate finds a request at this daemon or at a peer.
 	Locate(ctx context.Context, id request.ID) (dispatch.Source, error)
 }
 
-// Kind is the kind of object that keys are kept in.
+// Kind is the kind of the stored objects for keys.
 const Kind = "plankridge-keys"
 
-// Options are what a Manager works with.
+// Options holds the dependencies and settings of a Manager.
 type Options struct {
 	Self       Holder
 	Zone       string
@@ -111,7 +111,7 @@
 	Registerer prometheus.Registerer
 }
 
-// Manager holds the slots that fall to a daemon and runs their requests.
+// Manager holds the slots assigned to a daemon and runs the requests whose keys belong to them.
 type Manager struct {
 	options     Options
 	committer   *Committer
@@ -119,21 +119,21 @@
 	slotsHeld   prometheus.Gauge
 	keptByPeers prometheus.Counter
 
-	// freeChecks counts the looks at which a zone had free slots; only Run uses it.
+	// freeChecks counts, by zone, the consecutive checks with free slots. Only Run uses it.
 	freeChecks map[string]int
 
 	mu           sync.Mutex
 	homes        *Homes
 	homesVersion int64
-	// serving are the homes whose keys this daemon knows in full.
+	// serving holds the slots whose keys are loaded completely.
 	serving map[Home]bool
-	// starting are requests whose keys are taken and which the dispatcher is
-	// about to know.
+	// starting holds the requests that have claimed their key but are not yet registered with
+	// the dispatcher.
 	starting map[request.ID]bool
 	leaving  bool
 }
 
-// NewManager returns a manager that holds nothing yet.
+// NewManager returns a Manager that holds no slots yet.
 func NewManager(options Options) *Manager {
 	m := &Manager{
 		options:    options,
@@ -154,14 +154,13 @@
 	return m
 }
 
-// processName is unique among all processes.
+// processName returns a name that is unique among all processes.
 func processName(self Holder) string {
 	raw, _ := json.Marshal(self.Incarnation)
 	return self.Daemon + "-" + string(raw)
 }
 
-// Run follows the homes, claims free slots and writes the log until the
-// context ends.
+// Run watches the homes, claims free slots and writes the log until the context ends.
 func (m *Manager) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { m.committer.Run(ctx) })
@@ -197,11 +196,11 @@
 	return m.homesVersion
 }
 
-// applyHomes puts a newer version of the homes in force.
+// applyHomes replaces the homes if the object is newer.
 func (m *Manager) applyHomes(object store.Value) error {
 	homes := &Homes{}
 	if err := json.Unmarshal(object.Data, homes); err != nil {
-		return eris.Wrap(err, "decode homes of keys")
+		return eris.Wrap(err, "decode homes object")
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -219,8 +218,8 @@
 	return nil
 }
 
-// claimSlots takes the free slots that fall to this daemon, and serves those that
-// it holds once it knows their keys.
+// claimSlots claims the free slots assigned to this daemon, and loads the keys of held slots
+// that are not served yet.
 func (m *Manager) claimSlots(ctx context.Context) {
 	m.mu.Lock()
 	homes, version, leaving := m.homes, m.homesVersion, m.leaving
@@ -240,8 +239,8 @@
 	}
 }
 
-// desiredHomes returns the homes with what this daemon should hold, and whether that
-// is a change. A daemon that is not among its zone's writers stays out of them
+// desiredHomes returns the homes with the slots and the enrolment that this daemon should have,
+// and whether that is a change. A daemon that is not among its zone's writers claims nothing
 // unless slots have been free for long.
 func (m *Manager) desiredHomes(homes *Homes, self Holder) (*Homes, bool) {
 	zones := m.options.Peers.Zones()
@@ -261,11 +260,11 @@
 	return next, enrolling || claims > 0
 }
 
-// eagerAfterChecks is the number of looks after which a daemon takes a free slot that
-// falls to another one, which may be about to start or to go.
+// eagerAfterChecks is the number of checks after which a daemon claims a free slot that is
+// assigned to another daemon. Until then, that daemon may be about to start or to leave.
 const eagerAfterChecks = 3
 
-// freeForLong reports whether slots of a zone have been free for several looks.
+// freeForLong reports whether slots of a zone have been free for several checks.
 func (m *Manager) freeForLong(homes *Homes, zone string) bool {
 	if homes.FreeSlots(zone, m.options.Peers.Dead) == 0 {
 		delete(m.freeChecks, zone)
@@ -275,7 +274,7 @@
 	return m.freeChecks[zone] > eagerAfterChecks
 }
 
-// unservedSlots returns the slots that are held and not served yet, by zone.
+// unservedSlots returns, by zone, the slots that are held but not served yet.
 func (m *Manager) unservedSlots() map[string][]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -288,12 +287,12 @@
 	return missing
 }
 
-// putHomes writes the homes. After an error the next look decides anew: the slots
-// are served only once they have been read back.
+// putHomes writes the homes. After an error, the next check decides again: slots are served
+// only once the homes have been read back.
 func (m *Manager) putHomes(ctx context.Context, next *Homes, version int64) bool {
 	raw, err := json.Marshal(next)
 	if err != nil {
-		panic("keys: homes do not encode: " + err.Error())
+		panic("keys: encode homes: " + err.Error())
 	}
 	object, err := m.options.Store.Put(ctx, homesKey, raw, version)
 	if err != nil {
@@ -303,8 +302,8 @@
 	return m.applyHomes(object) == nil
 }
 
-// Release gives all slots back. It is called when no request with a key runs
-// here any more, or shortly before the VM goes.
+// Release releases all slots. Call it when no request with a key is running here any more, or
+// shortly before the VM is reclaimed.
 func (m *Manager) Release(ctx context.Context) {
 	m.mu.Lock()
 	m.leaving = true
@@ -329,7 +328,7 @@
 	}
 }
 
-// keepers returns the other enrolled daemons of the own zone.
+// keepers returns the other enrolled daemons of this daemon's zone.
 func (m *Manager) keepers() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -342,10 +341,10 @@
 	return names
 }
 
-// ErrNotEnrolled means that a process must not take records yet, or any more.
+// ErrNotEnrolled means that a process must not accept records yet, or no longer.
 var ErrNotEnrolled = errors.New("process is not enrolled for keys")
 
-// KeepForPeer takes records that another daemon could not bring to the log.
+// KeepForPeer accepts records that another daemon could not write to the log.
 func (m *Manager) KeepForPeer(records []Record) error {
 	m.mu.Lock()
 	ready := !m.leaving && m.homes.Enrolled[m.options.Self.Daemon].sameProcess(m.options.Self)
@@ -366,5 +365,5 @@
 	return len(m.serving)
 }
 
-// Pending returns the records that this daemon still has to bring to the log.
+// Pending returns the records of this daemon that are not in the log yet.
 func (m *Manager) Pending() []Record { return m.committer.Pending() }
--- a/internal/keys/model_test.go
+++ b/internal/keys/model_test.go
@@ -12,10 +12,10 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// The model explores every order of the steps that processes take with one key:
-// looking at the homes, claiming, collecting, reading the log, recording an
-// intent, sending, answering, leaving, and dying at any moment. Homes and Ledger
-// are the program's own. A pause is a step that comes late.
+// The model explores every interleaving of the steps that processes take with one key: reading
+// and claiming homes, collecting, reading the log, recording an intent, sending, answering,
+// leaving, and crashing at any point. It uses the production Homes and Ledger. A paused process
+// is modelled by a step that is taken late.
 
 // modelProc is one process of a daemon.
 type modelProc struct {
@@ -23,16 +23,16 @@
 	alive      bool
 	view       Homes
 	version    int
-	collected  []Record // collected on the way to serving; nil before
+	collected  []Record // collected so far while loading; nil before that
 	serving    bool
-	known      *Record  // what its ledger says of the key
+	known      *Record  // the record of the key in the process's ledger
 	pending    []Record // not in the log yet
 	ownRequest request.ID
-	maySend    bool // its own intent is recorded; it may send
+	maySend    bool // the intent of ownRequest is recorded, so it may be sent
 	sent       bool
 }
 
-// modelState is the state of the model.
+// modelState is one state of the model.
 type modelState struct {
 	procs    []modelProc
 	homes    Homes
@@ -43,11 +43,11 @@
 	restarts int
 	leaves   int
 	runs     int
-	// path is the states that led here.
+	// path holds the identities of the states that led here.
 	path []string
 }
 
-// seededFault is a fault seeded into the model's wiring.
+// seededFault is a fault that is injected into the model to check that the model detects it.
 type seededFault string
 
 const (
@@ -58,7 +58,7 @@
 	faultNoCollect        seededFault = "peers are not asked"
 )
 
-// model bounds one exploration.
+// model holds the bounds of one exploration.
 type model struct {
 	posts, crashes, restarts, leaves int
 	peersKeep                        bool
@@ -75,7 +75,7 @@
 	return w
 }
 
-// clone copies a world by its JSON, which is also its identity.
+// clone returns a copy whose slices can be changed independently.
 func (w *modelState) clone() modelState {
 	next := *w
 	next.procs = slices.Clone(w.procs)
@@ -103,7 +103,7 @@
 	return text
 }
 
-// recordSet writes records as a set.
+// recordSet formats records as a set.
 func recordSet(records []Record) string {
 	var names []string
 	for _, record := range records {
@@ -117,7 +117,7 @@
 	return fmt.Sprint(h.Holder(modelZone, 0), h.Enrolled["a"].Incarnation, h.Enrolled["b"].Incarnation)
 }
 
-// provedDead is the proof of death: a crash.
+// provedDead returns the predicate that proves a death. Only a crash proves it.
 func (w *modelState) provedDead(m *model) func(Holder) bool {
 	return func(h Holder) bool {
 		for _, p := range w.procs {
@@ -129,7 +129,7 @@
 	}
 }
 
-// ledger returns the program's ledger with what a process knows of the key.
+// ledger returns a production Ledger with the process's record of the key.
 func (p *modelProc) ledger() *Ledger {
 	l := NewLedger()
 	if p.known != nil {
@@ -144,7 +144,7 @@
 	}
 }
 
-// steps returns every world that one step of a process leads to.
+// steps returns all states that one step of process i leads to.
 func (m *model) steps(w *modelState, i int) []modelState {
 	var next []modelState
 	try := func(allowed bool, step func(w *modelState, p *modelProc)) {
@@ -173,7 +173,7 @@
 	return next
 }
 
-// claim is the conditional update of the homes.
+// claim performs the conditional update of the homes.
 func (m *model) claim(w *modelState, p *modelProc) {
 	homes, enrolled := p.view.Enrol(modelZone, p.self)
 	homes, claimed := homes.Claim(modelZone, p.self, []string{"a", "b"}, w.provedDead(m), true)
@@ -183,7 +183,7 @@
 	}
 }
 
-// serveSteps are the two steps to serving: ask the others, read the log.
+// serveSteps are the two steps before serving: collect the peers' records, then read the log.
 func (m *model) serveSteps(_ *modelState, p *modelProc, try func(bool, func(*modelState, *modelProc))) {
 	holds := p.view.Holder(modelZone, 0).sameProcess(p.self) && !p.serving
 	ask := func(w *modelState, p *modelProc) []Record {
@@ -213,7 +213,8 @@
 	})
 }
 
-// requestSteps are a post of the key, its intent, its sending and its end.
+// requestSteps are the submission of a request with the key, the recording of its intent, its
+// sending and its end.
 func (m *model) requestSteps(w *modelState, p *modelProc, i int, try func(bool, func(*modelState, *modelProc))) {
 	try(p.serving && w.posts > 0, func(w *modelState, p *modelProc) {
 		w.posts--
@@ -254,7 +255,7 @@
 	})
 }
 
-// explore visits every reachable world and returns how many there are, and one
+// explore visits all reachable states. It returns their number and, if there is one, a state
 // in which the key's request has run twice.
 func (m *model) explore() (visited int, violation *modelState) {
 	begin := m.start()
@@ -302,8 +303,8 @@
 	}
 }
 
-// TestModelShowsTheRemainingWindow documents the one case that is left: holder
-// and keeping peer both die before the log has the intent.
+// TestModelShowsTheRemainingWindow documents the one known case in which a request can run
+// twice: the holder and the peer that keeps the intent both crash before the intent is logged.
 func TestModelShowsTheRemainingWindow(t *testing.T) {
 	_, violation := (&model{posts: 2, crashes: 2, restarts: 1, peersKeep: true}).explore()
 	qt.New(t).Check(violation, qt.IsNotNil)
--- a/internal/keys/record.go
+++ b/internal/keys/record.go
@@ -8,50 +8,48 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// State is what is known of a key.
+// State is the recorded state of a key.
 type State string
 
-// The states of a key.
+// States of a key.
 const (
-	// StateIntent means that the request may be running, or may have run.
+	// StateIntent means that the request may be running or may have run.
 	StateIntent State = "intent"
-	// StateDone means that it has run and has an answer.
+	// StateDone means that the request has run and has an answer.
 	StateDone State = "done"
-	// StateNotRun means that it has not run and may be sent again.
+	// StateNotRun means that the request has not run and may be sent again.
 	StateNotRun State = "void"
-	// StateUnknown means that it may have run and that its answer is lost.
+	// StateUnknown means that the request may have run and that its answer is lost.
 	StateUnknown State = "unknown"
 )
 
-// Record is one entry of the log of keys.
+// Record is one entry of the key log.
 type Record struct {
 	Ref       Ref        `json:"ref"`
 	RequestID request.ID `json:"request_id"`
 	State     State      `json:"state"`
 	At        time.Time  `json:"at"`
-	// Turn counts the requests of the key, each of which began after the one
-	// before had not run. Clocks of two holders may differ, so that At does not
-	// order them.
+	// Turn numbers the requests of the key. Each one began after the previous one was
+	// recorded as not run. At cannot order them because the clocks of two holders may differ.
 	Turn int `json:"turn,omitempty"`
-	// Answer is set when the state is done, unless it is too large to keep.
+	// Answer is set if State is StateDone and the answer was small enough to keep.
 	Answer *request.PlainAnswer `json:"answer,omitempty"`
 }
 
-// Retention is how long a key is remembered after it was first used. It is
-// published in the callers' page.
+// Retention is how long a key is remembered after its first use. It is published in the
+// documentation for callers.
 const Retention = 24 * time.Hour
 
-// MaxAnswerBytes is the largest answer that is kept with its key, in bytes.
+// MaxAnswerBytes is the maximum size of an answer that is kept with its key, in bytes.
 const MaxAnswerBytes = 64 << 10
 
-// ErrFull means that no more keys can be remembered. A key is never forgotten
-// early to make room.
+// ErrFull means that no more keys can be stored. Keys are never dropped early to make room.
 var ErrFull = errors.New("too many keys are remembered")
 
-// maxRecords bounds the keys that a daemon remembers.
+// maxRecords is the maximum number of keys that a daemon stores.
 const maxRecords = 200_000
 
-// Ledger remembers the keys of the slots that a daemon holds. It does no I/O.
+// Ledger stores the keys of the slots that a daemon holds. It does no I/O.
 type Ledger struct {
 	mu      sync.Mutex
 	records map[string]Record
@@ -60,9 +58,9 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{records: map[string]Record{}} }
 
-// supersedes reports whether a record replaces the one that is there. The log
-// may be read in any order and twice: a later request replaces an earlier one,
-// and within a request the end replaces the intent.
+// supersedes reports whether next replaces present. The log may be read in any order and more
+// than once: a later request replaces an earlier one, and for one request the end replaces the
+// intent.
 func supersedes(next, present Record) bool {
 	if next.Turn != present.Turn {
 		return next.Turn > present.Turn
@@ -70,7 +68,7 @@
 	return present.State == StateIntent || next.State == StateDone
 }
 
-// Apply takes over a record of the log.
+// Apply merges a record of the log.
 func (l *Ledger) Apply(record Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,8 +78,8 @@
 	}
 }
 
-// Begin enters an intent, unless the key is taken. It returns the record that
-// holds the key and whether that is the new one.
+// Begin stores an intent, unless the key is taken. It returns the record that holds the key,
+// and whether that is the new one.
 func (l *Ledger) Begin(record Record) (Record, bool, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,7 +98,7 @@
 	return record, true, nil
 }
 
-// dropExpired drops what is older than the retention.
+// dropExpired drops the records that are older than Retention.
 func (l *Ledger) dropExpired(now time.Time) {
 	for hash, record := range l.records {
 		if now.Sub(record.At) >= Retention {
@@ -109,8 +107,8 @@
 	}
 }
 
-// Replace enters an intent in the place of a record that was read before. It
-// reports false when another has come between.
+// Replace replaces a record that was read before by an intent. It returns false and the current
+// record if the record has changed since.
 func (l *Ledger) Replace(old, next Record) (Record, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,7 +121,7 @@
 	return next, true
 }
 
-// Len returns the number of keys.
+// Len returns the number of stored keys.
 func (l *Ledger) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/keys/serve.go
+++ b/internal/keys/serve.go
@@ -9,18 +9,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// loadSlots reads the keys of slots that are held from now on: from the log, and
-// from the daemons of the zone that still have to bring some to it. Their
-// former holder is dead or has released them, so no other source remains.
+// loadSlots loads the keys of newly held slots from the log and from the daemons of the zone
+// that have records not in the log yet. The former holder is dead or has released the slots, so
+// there is no other source.
 func (m *Manager) loadSlots(ctx context.Context, zone string, slots []int) {
 	records, err := m.collectPending(ctx, zone)
 	if err != nil {
-		m.options.Logger.Warn("keys of a slot are not complete yet", "error", err)
+		m.options.Logger.Warn("cannot collect pending key records", "error", err)
 		return
 	}
 	logged, err := m.readLog(ctx, zone)
 	if err != nil {
-		m.options.Logger.Warn("log of keys cannot be read", "error", err)
+		m.options.Logger.Warn("cannot read the key log", "error", err)
 		return
 	}
 	for _, record := range append(records, logged...) {
@@ -36,11 +36,10 @@
 		}
 	}
 	m.slotsHeld.Set(float64(len(m.serving)))
-	m.options.Logger.Info("slots of keys are served", "home", zone, "slots", slots, "keys", m.ledger.Len())
+	m.options.Logger.Info("serving key slots", "home", zone, "slots", slots, "keys", m.ledger.Len())
 }
 
-// collectPending returns what the living processes of a zone still have to bring to
-// the log.
+// collectPending returns the records of the zone's living processes that are not in the log yet.
 func (m *Manager) collectPending(ctx context.Context, zone string) ([]Record, error) {
 	m.mu.Lock()
 	homes := m.homes
@@ -66,7 +65,7 @@
 	for at := now.Add(-Retention); !at.After(now.Add(time.Hour)); at = at.Add(time.Hour) {
 		objects, err := m.options.Store.List(ctx, hourPrefix(zone, at))
 		if err != nil {
-			return nil, eris.Wrap(err, "list log of keys")
+			return nil, eris.Wrap(err, "list key log")
 		}
 		for _, object := range objects {
 			var batch []Record
@@ -79,8 +78,8 @@
 	return records, nil
 }
 
-// removeOldBatches removes the batches that are older than the retention. The holder of
-// the zone's first slot does it.
+// removeOldBatches removes the batches that are older than the retention. Only the holder of the
+// zone's first slot does so.
 func (m *Manager) removeOldBatches(ctx context.Context) {
 	for pause(ctx, cleanupInterval) {
 		if !m.isServing(m.options.Zone, 0) {
--- a/internal/keys/starting_test.go
+++ b/internal/keys/starting_test.go
@@ -10,7 +10,7 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// noRequestPeers is a deployment in which no request is found.
+// noRequestPeers finds no request at any daemon.
 type noRequestPeers struct{ Peers }
 
 // Locate implements Peers.
@@ -18,9 +18,9 @@
 	return nil, dispatch.ErrNotFound
 }
 
-// TestKeyOfStartingRequestIsInFlight: between taking a key and handing its
-// request to the dispatcher nobody finds the request. Another one with the key
-// is told that it has not ended, not that its fate is unknown.
+// TestKeyOfStartingRequestIsInFlight covers the time between claiming a key and registering its
+// request with the dispatcher, when no daemon can find the request. A second request with the key
+// must get the verdict in-flight, not unknown.
 func TestKeyOfStartingRequestIsInFlight(t *testing.T) {
 	c := qt.New(t)
 	m := &Manager{options: Options{Peers: noRequestPeers{}}, starting: map[request.ID]bool{}}
--- a/internal/keys/submit.go
+++ b/internal/keys/submit.go
@@ -10,8 +10,8 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// Submit runs a request with a key, or tells what became of the key's request.
-// It forwards to the holder of the key when that is another daemon.
+// Submit runs a request with a key, or returns the result of the earlier request with the key.
+// It forwards the request if another daemon holds the key.
 func (m *Manager) Submit(ctx context.Context, spec request.Spec) (Result, error) {
 	ref := spec.Key.KeyRef
 	if m.isServing(ref.Zone, ref.Slot) {
@@ -66,8 +66,8 @@
 	return m.starting[id]
 }
 
-// accept accepts a request whose key is free. The intent is recorded before the
-// first attempt begins.
+// accept accepts a request whose key is free. The intent is recorded before the first attempt
+// begins.
 func (m *Manager) accept(spec request.Spec, intent Record) Result {
 	key := *spec.Key
 	key.Turn = intent.Turn
@@ -82,8 +82,8 @@
 	return Result{Verdict: VerdictRun, RequestID: flight.ID()}
 }
 
-// recordIntent brings an intent to the log or, when the Object API does not take it
-// in time, to a peer that will.
+// recordIntent writes an intent to the log. If the Object API does not accept it in time, a peer
+// is asked to keep it.
 func (m *Manager) recordIntent(ctx context.Context, intent Record) error {
 	logged := m.committer.Append(intent)
 	select {
@@ -94,14 +94,14 @@
 		return ctx.Err()
 	}
 	if err := m.options.Peers.Keep(ctx, m.keepers(), []Record{intent}); err != nil {
-		m.options.Logger.Warn("intent is kept nowhere", "request_id", intent.RequestID, "error", err)
+		m.options.Logger.Warn("cannot record an intent in the log or at a peer", "request_id", intent.RequestID, "error", err)
 		return ErrNotKept
 	}
 	m.keptByPeers.Inc()
 	return nil
 }
 
-// answerRepeated answers a request whose key is taken.
+// answerRepeated handles a request whose key is taken.
 func (m *Manager) answerRepeated(ctx context.Context, spec request.Spec, present, intent Record) Result {
 	if present.Ref.Fingerprint != intent.Ref.Fingerprint {
 		return Result{Verdict: VerdictMismatch, RequestID: present.RequestID}
@@ -122,8 +122,8 @@
 	return Result{Verdict: VerdictReplay, RequestID: record.RequestID, Answer: record.Answer}
 }
 
-// inFlight answers a request whose key's request has begun and whose end is
-// not recorded here: it runs here or, after a takeover, elsewhere.
+// inFlight handles a request whose key belongs to a request that has begun and whose end is not
+// recorded here. That request runs here or, after a takeover, at another daemon.
 func (m *Manager) inFlight(ctx context.Context, spec request.Spec, present, intent Record) Result {
 	running := Result{Verdict: VerdictInFlight, RequestID: present.RequestID}
 	if m.isStarting(present.RequestID) {
@@ -171,8 +171,8 @@
 	return last.Plain, last.Failure, err
 }
 
-// rerun runs a request whose key's earlier request did not run, or may run
-// again. Another one whose fate nobody knows stays unknown.
+// rerun runs a request if the earlier request with its key has not run or is idempotent.
+// Otherwise the outcome of the earlier request stays unknown.
 func (m *Manager) rerun(spec request.Spec, present, intent Record) Result {
 	if present.State != StateNotRun && !spec.Idempotent() {
 		return Result{Verdict: VerdictUnknown, RequestID: present.RequestID}
@@ -184,7 +184,7 @@
 	return m.accept(spec, intent)
 }
 
-// Ended records the end of a request with a key, wherever it has run.
+// Ended records the end of a request with a key, wherever it ran.
 func (m *Manager) Ended(spec request.Spec, id request.ID, answer *request.PlainAnswer, failure *request.Failure) {
 	intent := Record{Ref: spec.Key.KeyRef, RequestID: id, State: StateIntent, At: time.Now().UTC(), Turn: spec.Key.Turn}
 	record := endRecord(intent, StateUnknown, nil)
@@ -200,8 +200,8 @@
 	m.committer.Append(record)
 }
 
-// Prepare records the intent of a request with a key that this daemon has
-// taken over from its owner.
+// Prepare returns a function that records the intent of a request with a key that this daemon
+// has taken over from its owner.
 func (m *Manager) Prepare(spec request.Spec) func(context.Context) error {
 	intent := Record{Ref: spec.Key.KeyRef, RequestID: spec.ID, State: StateIntent, At: spec.Accepted.UTC(), Turn: spec.Key.Turn}
 	return func(ctx context.Context) error { return m.recordIntent(ctx, intent) }
