--- a/internal/backup/backup.go
+++ b/internal/backup/backup.go
@@ -41,12 +41,12 @@
 
 // Sizes by which the memory of a copy is estimated, in bytes.
 const (
-	baseBytes  = 1024
-	tokenBytes = 32
+	baseCopyBytes = 1024
+	bytesPerToken = 32
 )
 
 func (c *Copy) size() int {
-	size := baseBytes + tokenBytes*len(c.Tokens)
+	size := baseCopyBytes + bytesPerToken*len(c.Tokens)
 	if c.Spec.Model != nil {
 		size += len(c.Spec.Model.Prompt)
 	}
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -118,7 +118,7 @@
 		Adapter:    model.Adapter,
 		Prompt:     model.Prompt,
 		CacheSalt:  flight.spec.Workspace,
-		Resume:     flight.produced(),
+		Resume:     flight.producedTokens(),
 		MaxTokens:  model.MaxTokens,
 		Priority:   engine.PriorityAwaited,
 		Parameters: map[string]json.RawMessage{},
@@ -190,7 +190,7 @@
 }
 
 func (s *modelStream) setFinish(event engine.Event) error {
-	if event.Index != len(s.flight.produced()) {
+	if event.Index != len(s.flight.producedTokens()) {
 		return errTokenGap
 	}
 	s.finish = &request.Finish{Reason: event.FinishReason, OutputTokens: event.Index}
--- a/internal/dispatch/flight.go
+++ b/internal/dispatch/flight.go
@@ -22,8 +22,8 @@
 	Moved bool
 }
 
-// Last reports whether this is the last event.
-func (e *Event) Last() bool {
+// IsLast reports whether this is the last event.
+func (e *Event) IsLast() bool {
 	return e.Finish != nil || e.Plain != nil || e.Failure != nil || e.Moved
 }
 
@@ -171,7 +171,7 @@
 				return err
 			}
 			after = events[i].Offset
-			if events[i].Last() {
+			if events[i].IsLast() {
 				f.markRead(&events[i])
 				return nil
 			}
@@ -275,8 +275,8 @@
 	return f.lifecycle.Attempts()
 }
 
-// produced returns the tokens produced so far.
-func (f *Flight) produced() []string {
+// producedTokens returns the tokens produced so far.
+func (f *Flight) producedTokens() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.tokens[:len(f.tokens):len(f.tokens)]
--- a/internal/dispatch/replicate.go
+++ b/internal/dispatch/replicate.go
@@ -67,7 +67,7 @@
 func (d *Dispatcher) refreshCopy(flight *Flight) {
 	ctx, cancel := context.WithTimeout(d.ctx, copyTimeout)
 	defer cancel()
-	tokens := flight.produced()
+	tokens := flight.producedTokens()
 	backup, copied := flight.copyState()
 	if backup != "" {
 		update := Copy{Spec: flight.spec, Offset: copied, Tokens: tokens[copied:]}
@@ -179,7 +179,7 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(d.ctx), copyTimeout)
 	defer cancel()
 	backup, _ := flight.copyState()
-	err := d.options.Replicator.TakeOver(ctx, backup, Copy{Spec: flight.spec, Tokens: flight.produced()})
+	err := d.options.Replicator.TakeOver(ctx, backup, Copy{Spec: flight.spec, Tokens: flight.producedTokens()})
 	if err == nil {
 		flight.close(Event{Moved: true}, time.Now())
 		return
@@ -199,7 +199,7 @@
 	if skip {
 		return
 	}
-	if err := d.options.Replicator.Hold(ctx, flight.spec, flight.produced(), *flight.lastEvent); err != nil {
+	if err := d.options.Replicator.Hold(ctx, flight.spec, flight.producedTokens(), *flight.lastEvent); err != nil {
 		d.log(flight).Warn("cannot hand over an unread answer", "error", err)
 	}
 }
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -178,7 +178,7 @@
 	if f.spec.Kind == request.KindPlain {
 		return took <= targets.Answer.Std()
 	}
-	steps := time.Duration(max(1, len(f.produced())-1))
+	steps := time.Duration(max(1, len(f.producedTokens())-1))
 	return f.firstToken <= targets.FirstToken.Std() && (took-f.firstToken)/steps <= targets.BetweenTokens.Std()
 }
 
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -67,7 +67,7 @@
 func (r *run) shouldRetry(status int) bool {
 	return status >= http.StatusInternalServerError &&
 		r.call.Route.Repeat == catalog.RunsAgain &&
-		r.sends < r.call.Route.MaxAttempts &&
+		r.sentAttempts < r.call.Route.MaxAttempts &&
 		time.Until(r.call.Deadline()) >= minAttemptTime
 }
 
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -54,7 +54,7 @@
 	if errors.Is(err, upstream.ErrNotSent) {
 		return r.endNotSent(ctx, choice, err)
 	}
-	if r.sends++; r.sends == 1 {
+	if r.sentAttempts++; r.sentAttempts == 1 {
 		r.options.Budget.Count(r.call.Service, time.Now())
 	}
 	if choice.Candidate && r.options.RollOuts != nil {
@@ -71,7 +71,7 @@
 // endNotSent ends an attempt whose request was not sent.
 func (r *run) endNotSent(ctx context.Context, choice *backend.Choice, err error) result {
 	choice.RefundAdmission()
-	r.unsent++
+	r.unsentAttempts++
 	if errors.Is(err, upstream.ErrSendDenied) {
 		return r.endWithStep(request.StepNotSent, backend.OutcomeNeutral, "left")
 	}
@@ -160,7 +160,7 @@
 // startSilenceTimer cancels an attempt of an idempotent request whose server stays silent,
 // if another attempt remains. The returned function stops the timer.
 func (r *run) startSilenceTimer(cancel context.CancelCauseFunc) (stop func() bool) {
-	if r.call.Route.Repeat != catalog.RunsAgain || r.sends+1 >= r.call.Route.MaxAttempts {
+	if r.call.Route.Repeat != catalog.RunsAgain || r.sentAttempts+1 >= r.call.Route.MaxAttempts {
 		return func() bool { return false }
 	}
 	timeout := max(minSilenceTimeout, silenceTargetFactor*r.call.Route.Target)
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -100,10 +100,10 @@
 	*Forwarder
 	call  *Call
 	reply Reply
-	// sends counts the attempts that were sent, unsent those that could not be sent.
-	sends  int
-	unsent int
-	tried  map[string]bool
+	// sentAttempts counts the attempts that were sent, unsent those that could not be sent.
+	sentAttempts   int
+	unsentAttempts int
+	tried          map[string]bool
 	// candidate is set while the call goes to the candidate version of a roll-out.
 	candidate bool
 	// lifecycle decides whether a retry is safe and which outcome may be reported.
@@ -211,7 +211,7 @@
 		return nil
 	case r.options.Quarantine.Barred(r.content, now):
 		refusal.Reason = "request ends the servers that run it"
-	case r.sends > 0 && r.options.Quarantine.Doubted(r.content):
+	case r.sentAttempts > 0 && r.options.Quarantine.Doubted(r.content):
 		refusal.Reason = "servers ended under requests like this one"
 	default:
 		return nil
@@ -259,7 +259,7 @@
 		if refusal := r.chargeRepeat(); refusal != nil {
 			return r.giveUp(ctx, refusal)
 		}
-		if r.sends > 0 && !r.options.Budget.Take(r.call.Service, now) {
+		if r.sentAttempts > 0 && !r.options.Budget.Take(r.call.Service, now) {
 			return r.giveUp(ctx, &Refusal{Status: http.StatusServiceUnavailable, Reason: "retry budget is spent", RetryAfter: retryAfterTransient})
 		}
 		choice, ok := r.options.View.Begin(r.need(), now)
@@ -336,7 +336,7 @@
 
 func (r *run) need() backend.Need {
 	need := backend.Need{Service: r.call.Service, Zone: r.options.Zone, Target: r.call.Route.Target, Tried: r.tried, Candidate: r.candidate, SampleSeed: xxhash.Sum64String(r.call.ID)}
-	need.Final = r.sends+1 >= r.call.Route.MaxAttempts
+	need.Final = r.sentAttempts+1 >= r.call.Route.MaxAttempts
 	if p := r.call.Prompt; p != nil {
 		need.Deferred = r.overdue()
 		need.PromptTokens, need.Parts, need.Answer, need.Resumed = p.Tokens, p.Parts, pace.Answer{Allowed: p.MaxOutput, Hinted: p.LikelyOutput}, r.lastEventID != ""
@@ -348,13 +348,13 @@
 func (r *run) checkAttempt(now time.Time) *Refusal {
 	refusal := &Refusal{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterTransient}
 	switch {
-	case r.sends == 0 && r.unsent < maxUnreachable:
+	case r.sentAttempts == 0 && r.unsentAttempts < maxUnreachable:
 		return nil
-	case r.sends == 0:
+	case r.sentAttempts == 0:
 		refusal.Reason = "no backend server could be reached"
 	case errors.Is(r.lifecycle.MayDispatch(), request.ErrMayHaveRun):
 		refusal.Reason = "an earlier attempt may have run"
-	case r.sends >= max(1, r.call.Route.MaxAttempts):
+	case r.sentAttempts >= max(1, r.call.Route.MaxAttempts):
 		refusal.Reason = "route allows no further attempt"
 	case r.call.Deadline().Sub(now) < minAttemptTime:
 		refusal.Reason = "no time is left for another attempt"
--- a/internal/keys/manager.go
+++ b/internal/keys/manager.go
@@ -328,8 +328,8 @@
 	}
 }
 
-// keepers returns the other enrolled daemons of this daemon's zone.
-func (m *Manager) keepers() []string {
+// enrolledPeers returns the other enrolled daemons of this daemon's zone.
+func (m *Manager) enrolledPeers() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var names []string
--- a/internal/keys/model_test.go
+++ b/internal/keys/model_test.go
@@ -34,15 +34,15 @@
 
 // modelState is one state of the model.
 type modelState struct {
-	procs    []modelProc
-	homes    Homes
-	version  int
-	log      []Record
-	posts    int
-	crashes  int
-	restarts int
-	leaves   int
-	runs     int
+	procs       []modelProc
+	homes       Homes
+	version     int
+	log         []Record
+	submissions int
+	crashes     int
+	restarts    int
+	leaves      int
+	runs        int
 	// path holds the identities of the states that led here.
 	path []string
 }
@@ -60,15 +60,15 @@
 
 // model holds the bounds of one exploration.
 type model struct {
-	posts, crashes, restarts, leaves int
-	peersKeep                        bool
-	fault                            seededFault
+	submissions, crashes, restarts, leaves int
+	peersKeep                              bool
+	fault                                  seededFault
 }
 
 const modelZone = "z"
 
 func (m *model) start() modelState {
-	w := modelState{posts: m.posts, crashes: m.crashes, restarts: m.restarts, leaves: m.leaves}
+	w := modelState{submissions: m.submissions, crashes: m.crashes, restarts: m.restarts, leaves: m.leaves}
 	for _, daemon := range []string{"a", "b"} {
 		w.procs = append(w.procs, modelProc{self: Holder{Daemon: daemon, Incarnation: 1}, alive: true})
 	}
@@ -88,7 +88,7 @@
 }
 
 func (w *modelState) identity() string {
-	text := fmt.Sprint(w.posts, w.crashes, w.restarts, w.leaves, w.runs, "|", recordSet(w.log), homesText(&w.homes))
+	text := fmt.Sprint(w.submissions, w.crashes, w.restarts, w.leaves, w.runs, "|", recordSet(w.log), homesText(&w.homes))
 	for _, p := range w.procs {
 		key := "-"
 		if p.known != nil {
@@ -216,10 +216,10 @@
 // requestSteps are the submission of a request with the key, the recording of its intent, its
 // sending and its end.
 func (m *model) requestSteps(w *modelState, p *modelProc, i int, try func(bool, func(*modelState, *modelProc))) {
-	try(p.serving && w.posts > 0, func(w *modelState, p *modelProc) {
-		w.posts--
+	try(p.serving && w.submissions > 0, func(w *modelState, p *modelProc) {
+		w.submissions--
 		l := p.ledger()
-		intent := Record{Ref: Ref{Hash: "k", Zone: modelZone}, RequestID: request.ID(fmt.Sprint(p.self, w.posts)), State: StateIntent, At: time.Unix(0, 0)}
+		intent := Record{Ref: Ref{Hash: "k", Zone: modelZone}, RequestID: request.ID(fmt.Sprint(p.self, w.submissions)), State: StateIntent, At: time.Unix(0, 0)}
 		if present, begun, _ := l.Begin(intent); begun {
 			p.pending = append(p.pending, present)
 			p.ownRequest = present.RequestID
@@ -283,8 +283,8 @@
 func TestModelOfKeysRunsOnce(t *testing.T) {
 	c := qt.New(t)
 	for name, m := range map[string]*model{
-		"crashes, restarts and leaves": {posts: 3, crashes: 2, restarts: 2, leaves: 2},
-		"a peer keeps, one crash":      {posts: 3, crashes: 1, restarts: 1, leaves: 2, peersKeep: true},
+		"crashes, restarts and leaves": {submissions: 3, crashes: 2, restarts: 2, leaves: 2},
+		"a peer keeps, one crash":      {submissions: 3, crashes: 1, restarts: 1, leaves: 2, peersKeep: true},
 	} {
 		visited, violation := m.explore()
 		c.Logf("%s: %d states", name, visited)
@@ -297,7 +297,7 @@
 func TestModelFindsSeededFaults(t *testing.T) {
 	c := qt.New(t)
 	for _, mistake := range []seededFault{faultSilenceIsDeath, faultLogBeforePeers, faultSendBeforeIntent, faultNoCollect} {
-		m := &model{posts: 2, crashes: 1, restarts: 1, peersKeep: true, fault: mistake}
+		m := &model{submissions: 2, crashes: 1, restarts: 1, peersKeep: true, fault: mistake}
 		_, violation := m.explore()
 		c.Check(violation, qt.IsNotNil, qt.Commentf("%s", mistake))
 	}
@@ -306,6 +306,6 @@
 // TestModelShowsTheRemainingWindow documents the one known case in which a request can run
 // twice: the holder and the peer that keeps the intent both crash before the intent is logged.
 func TestModelShowsTheRemainingWindow(t *testing.T) {
-	_, violation := (&model{posts: 2, crashes: 2, restarts: 1, peersKeep: true}).explore()
+	_, violation := (&model{submissions: 2, crashes: 2, restarts: 1, peersKeep: true}).explore()
 	qt.New(t).Check(violation, qt.IsNotNil)
 }
--- a/internal/keys/submit.go
+++ b/internal/keys/submit.go
@@ -93,7 +93,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	if err := m.options.Peers.Keep(ctx, m.keepers(), []Record{intent}); err != nil {
+	if err := m.options.Peers.Keep(ctx, m.enrolledPeers(), []Record{intent}); err != nil {
 		m.options.Logger.Warn("cannot record an intent in the log or at a peer", "request_id", intent.RequestID, "error", err)
 		return ErrNotKept
 	}
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -34,7 +34,7 @@
 			return
 		}
 		event := fromWire(&wire)
-		if again := fromWire(toWire("r", event)); again.Last() != event.Last() {
+		if again := fromWire(toWire("r", event)); again.IsLast() != event.IsLast() {
 			t.Fatalf("%+v came back as %+v", event, again)
 		}
 	})
--- a/internal/peer/locate.go
+++ b/internal/peer/locate.go
@@ -131,7 +131,7 @@
 		if err := sink(event); err != nil {
 			return err
 		}
-		if event.Last() {
+		if event.IsLast() {
 			return nil
 		}
 	}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -112,7 +112,7 @@
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
 	last := fromWire(in.GetLast())
-	if !last.Last() {
+	if !last.IsLast() {
 		return nil, status.Error(codes.InvalidArgument, "answer is not finished")
 	}
 	s.dispatcher.Hold(spec, in.GetTokens(), last)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -33,19 +33,19 @@
 )
 
 const (
-	// idleDefault is how long an idle connection is kept when the server does
+	// defaultIdleLimit is how long an idle connection is kept when the server does
 	// not state its own limit.
-	idleDefault = 10 * time.Second
-	// idleMargin is left of a stated idle limit, so that the server does not
+	defaultIdleLimit = 10 * time.Second
+	// idleLimitMargin is left of a stated idle limit, so that the server does not
 	// close the connection while a request is on its way.
-	idleMargin = time.Second
+	idleLimitMargin = time.Second
 	// maxIdlePerServer bounds the idle connections to one address. A daemon has
 	// a few requests at one server at a time; bursts open more.
 	maxIdlePerServer = 16
-	// readBuffer and writeBuffer are the sizes, in bytes, of a connection's
+	// readBufferSize and writeBufferSize are the sizes, in bytes, of a connection's
 	// buffers; a request head is about 600 bytes, an event about 50.
-	readBuffer  = 4096
-	writeBuffer = 4096
+	readBufferSize  = 4096
+	writeBufferSize = 4096
 	// maxBodyBeforeRead is the size in bytes up to which a body is written before the
 	// answer is read: as much as fits the buffers of a connection, so that a
 	// server that does not read cannot hold the writer.
@@ -160,15 +160,15 @@
 }
 
 func writeRequest(c *conn, req *http.Request) error {
-	w := bufio.NewWriterSize(c, writeBuffer)
+	w := bufio.NewWriterSize(c, writeBufferSize)
 	if err := req.Write(w); err != nil {
 		return err
 	}
 	return w.Flush()
 }
 
-// maxSkipped bounds the answers of other requests that are read past.
-const maxSkipped = 3
+// maxSkippedAnswers bounds the answers of other requests that are read past.
+const maxSkippedAnswers = 3
 
 // errOtherRequests means that only answers of other requests came.
 var errOtherRequests = errors.New("answers belong to other requests")
@@ -176,7 +176,7 @@
 // readHead reads the head of an answer, past interim ones and past answers of
 // other requests.
 func readHead(r *bufio.Reader, req *http.Request, mine func(*http.Response) bool) (*http.Response, error) {
-	for range maxSkipped {
+	for range maxSkippedAnswers {
 		resp, err := http.ReadResponse(r, req)
 		if err != nil {
 			return nil, err
@@ -201,10 +201,10 @@
 		name, value, _ := strings.Cut(strings.TrimSpace(item), "=")
 		seconds, err := strconv.Atoi(value)
 		if strings.EqualFold(name, "timeout") && err == nil {
-			return time.Duration(seconds)*time.Second - idleMargin
+			return time.Duration(seconds)*time.Second - idleLimitMargin
 		}
 	}
-	return idleDefault
+	return defaultIdleLimit
 }
 
 // acquire returns an idle connection that may be used, or a new one.
@@ -239,7 +239,7 @@
 	p.mu.Lock()
 	p.opened++
 	p.mu.Unlock()
-	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
 func (p *Pool) pop(address string) *conn {
@@ -257,7 +257,7 @@
 // putUnused puts back a connection on which nothing was sent.
 func (p *Pool) putUnused(c *conn) {
 	if c.idleLimit == 0 {
-		c.idleLimit = idleDefault
+		c.idleLimit = defaultIdleLimit
 	}
 	p.put(c)
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -174,8 +174,8 @@
 	for text, want := range map[string]time.Duration{
 		"timeout=5":         4 * time.Second,
 		"max=9, timeout=7":  6 * time.Second,
-		"":                  idleDefault,
-		"timeout=notnumber": idleDefault,
+		"":                  defaultIdleLimit,
+		"timeout=notnumber": defaultIdleLimit,
 	} {
 		resp := &http.Response{Header: http.Header{"Keep-Alive": {text}}}
 		c.Check(idleLimit(resp), qt.Equals, want, qt.Commentf("%q", text))
