--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -100,7 +100,7 @@
 	*Forwarder
 	call  *Call
 	reply Reply
-	// sentAttempts counts the attempts that were sent, unsent those that could not be sent.
+	// sentAttempts counts the attempts that were sent, unsentAttempts those that could not be sent.
 	sentAttempts   int
 	unsentAttempts int
 	tried          map[string]bool
