--- a/internal/upstream/quiet.go
+++ b/internal/upstream/quiet.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// isQuiet reports whether an idle connection is open and has nothing to read:
-// anything there is either its end or an answer that no request asked for.
-// Connections without a descriptor, as in tests, count as quiet.
+// isQuiet reports whether an idle connection is open and has nothing to read. Readable data is
+// either the end of the connection or a response that no request asked for. Connections without
+// a file descriptor, as used in tests, always count as quiet.
 func isQuiet(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -17,12 +17,12 @@
 	if err != nil {
 		return false
 	}
-	nothing := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		nothing = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+		var buf [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		empty = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && nothing
+	return err == nil && empty
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,7 +1,6 @@
-// Package upstream keeps HTTP/1.1 connections to backend servers and makes one
-// exchange at a time on each. Unlike http.Transport it never sends a request
-// twice on its own, says whether a failed request can have reached the server,
-// and gives up a connection on which bytes arrive that nobody asked for.
+// Package upstream maintains HTTP/1.1 connections to backend servers, with one exchange at a time
+// on each. Unlike http.Transport, it never retries a request by itself, reports whether a failed
+// request can have reached the server, and drops a connection on which unrequested bytes arrive.
 package upstream
 
 import (
@@ -21,42 +20,41 @@
 	"github.com/plankridge/plankridge/internal/network"
 )
 
-// Errors of an exchange. They say whether the request can have run.
+// Errors of an exchange. They state whether the request can have run.
 var (
-	// ErrNotSent means that no byte of the request has left.
+	// ErrNotSent means that no byte of the request was sent.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrSendDenied means that the request was called off before it was sent.
-	ErrSendDenied = errors.New("request was called off")
-	// ErrNoAnswer means that the request was sent, at least in part, and no
-	// head of an answer came back.
+	// ErrSendDenied means that Reuse.MaySend denied the request before it was sent.
+	ErrSendDenied = errors.New("sending the request was denied")
+	// ErrNoAnswer means that the request was sent, at least in part, and no response header was
+	// received.
 	ErrNoAnswer = errors.New("no answer to a request that was sent")
 )
 
 const (
-	// defaultIdleLimit is how long an idle connection is kept when the server does
-	// not state its own limit.
+	// defaultIdleLimit is how long an idle connection is kept if the server states no limit.
 	defaultIdleLimit = 10 * time.Second
-	// idleLimitMargin is left of a stated idle limit, so that the server does not
-	// close the connection while a request is on its way.
+	// idleLimitMargin is subtracted from a stated idle limit, so that the server does not close the
+	// connection while a request is in transit.
 	idleLimitMargin = time.Second
-	// maxIdlePerServer bounds the idle connections to one address. A daemon has
-	// a few requests at one server at a time; bursts open more.
+	// maxIdlePerServer bounds the idle connections to one address. A daemon usually has a few
+	// concurrent requests at one server; bursts open more connections.
 	maxIdlePerServer = 16
-	// readBufferSize and writeBufferSize are the sizes, in bytes, of a connection's
-	// buffers; a request head is about 600 bytes, an event about 50.
+	// readBufferSize and writeBufferSize are the sizes in bytes of a connection's buffers. A
+	// request header has about 600 bytes and an event about 50.
 	readBufferSize  = 4096
 	writeBufferSize = 4096
-	// maxBodyBeforeRead is the size in bytes up to which a body is written before the
-	// answer is read: as much as fits the buffers of a connection, so that a
-	// server that does not read cannot hold the writer.
+	// maxBodyBeforeRead is the size in bytes up to which a body is written before the response is
+	// read. Such a body fits the buffers of a connection, so a server that does not read cannot
+	// block the writer.
 	maxBodyBeforeRead = 8 << 10
 )
 
-// Pool holds connections by address.
+// Pool holds idle connections by address.
 type Pool struct {
 	network     network.Network
 	dialTimeout time.Duration
-	// OnDial, where it is set, is told how long each connection took to open. It is set
+	// OnDial, if not nil, is called with the duration of each successful dial. It must be set
 	// before the pool is used.
 	OnDial func(address string, took time.Duration)
 
@@ -66,31 +64,31 @@
 	closed bool
 }
 
-// NewPool returns a pool that dials through the network. dialTimeout bounds the
-// opening of one connection.
+// NewPool returns a Pool that dials through n. dialTimeout bounds each dial.
 func NewPool(n network.Network, dialTimeout time.Duration) *Pool {
 	return &Pool{network: n, dialTimeout: dialTimeout, idle: map[string][]*conn{}}
 }
 
-// Reuse says which idle connections an exchange may use.
+// Reuse controls the connection that an exchange uses and the checks made on it.
 type Reuse struct {
-	// MaxIdle is the longest idle time; zero opens a connection.
+	// MaxIdle is the longest idle time of a reused connection; zero always opens a new one.
 	MaxIdle time.Duration
-	// Matches tells whether an answer belongs to this request. Others, left over
-	// from an earlier request, are skipped. Nil takes any.
+	// Matches reports whether a response belongs to this request. Other responses, left over
+	// from an earlier request, are skipped. Nil accepts every response.
 	Matches func(*http.Response) bool
-	// MaySend is asked once a connection is there, right before the request is sent. Nil sends it.
+	// MaySend is called right before the request is sent, once a connection is available.
+	// Nil always sends.
 	MaySend func() bool
 }
 
-// Response is the head of an answer and a reader of its body. Close must be
-// called; it keeps the connection when the body was read to its end.
+// Response is a response header with a reader of the body. Close must be called; the connection
+// is reused if the body was read to its end.
 type Response struct {
 	*http.Response
 	exchange *exchange
 }
 
-// conn is one connection with its reader.
+// conn is a connection with its read buffer.
 type conn struct {
 	net.Conn
 	address   string
@@ -99,36 +97,34 @@
 	idleLimit time.Duration
 }
 
-// abort closes the connection and discards what has not left yet. Bytes that a
-// partition holds up would otherwise arrive when it heals, and be run for a
-// caller that has gone.
+// abort closes the connection and discards unsent data. Otherwise data that a network partition
+// delays would arrive after it heals, and the server would run a request whose caller has gone.
 func (c *conn) abort() {
 	if lingers, ok := c.Conn.(interface{ SetLinger(sec int) error }); ok {
-		// A connection that is closed already has nothing to discard.
+		// On a connection that is already closed there is nothing to discard.
 		_ = lingers.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-// exchange is one request on one connection.
+// exchange is one request and its response on one connection.
 type exchange struct {
 	pool *Pool
 	conn *conn
-	// written gets the end of writing the request.
+	// written receives the result of writing the request.
 	written chan error
-	// stopWatch ends the watch on the caller's context; it returns false when that
-	// has closed the connection already.
+	// stopWatch stops the watch on the caller's context. It returns false if the end of that
+	// context has already closed the connection.
 	stopWatch func() bool
 	once      sync.Once
-	// bodyRead is set once the body was read to its end, reuse when the server
-	// keeps the connection.
+	// bodyRead is set once the body was read to its end. keepAlive is set if the server keeps
+	// the connection open.
 	bodyRead  bool
 	keepAlive bool
 }
 
-// Do sends a request and reads the head of its answer. A long body goes out while
-// the answer is awaited, since a server may answer early. When the context ends,
-// the connection is closed.
+// Do sends a request and reads the header of its response. A long body is written concurrently,
+// since a server may respond early. The end of ctx closes the connection.
 func (p *Pool) Do(ctx context.Context, address string, req *http.Request, reuse Reuse) (*Response, error) {
 	c, err := p.acquire(ctx, address, reuse)
 	if err != nil {
@@ -167,15 +163,16 @@
 	return w.Flush()
 }
 
-// maxSkippedAnswers bounds the answers of other requests that are read past.
+// maxSkippedAnswers is the number of response headers that are read in search of the matching
+// one; interim responses count.
 const maxSkippedAnswers = 3
 
-// errOtherRequests means that only answers of other requests came.
+// errOtherRequests means that all responses read belong to other requests.
 var errOtherRequests = errors.New("answers belong to other requests")
 
-// readHead reads the head of an answer, past interim ones and past answers of
+// readHead reads the header of the response to req. It skips interim responses and responses to
 // other requests.
-func readHead(r *bufio.Reader, req *http.Request, mine func(*http.Response) bool) (*http.Response, error) {
+func readHead(r *bufio.Reader, req *http.Request, matches func(*http.Response) bool) (*http.Response, error) {
 	for range maxSkippedAnswers {
 		resp, err := http.ReadResponse(r, req)
 		if err != nil {
@@ -184,7 +181,7 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if mine == nil || mine(resp) {
+		if matches == nil || matches(resp) {
 			return resp, nil
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
@@ -194,8 +191,8 @@
 	return nil, errOtherRequests
 }
 
-// idleLimit returns how long the server keeps the connection, from Keep-Alive:
-// timeout=N in seconds.
+// idleLimit returns how long an idle connection can be kept, from the header
+// "Keep-Alive: timeout=N", with N in seconds.
 func idleLimit(resp *http.Response) time.Duration {
 	for _, item := range strings.Split(resp.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(item), "=")
@@ -207,7 +204,7 @@
 	return defaultIdleLimit
 }
 
-// acquire returns an idle connection that may be used, or a new one.
+// acquire returns an idle connection that may be reused, or a new one.
 func (p *Pool) acquire(ctx context.Context, address string, reuse Reuse) (*conn, error) {
 	now := time.Now()
 	for {
@@ -228,13 +225,13 @@
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.dialTimeout)
 	defer cancel()
-	begun := time.Now()
+	began := time.Now()
 	raw, err := p.network.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	if p.OnDial != nil {
-		p.OnDial(address, time.Since(begun))
+		p.OnDial(address, time.Since(began))
 	}
 	p.mu.Lock()
 	p.opened++
@@ -254,7 +251,7 @@
 	return c
 }
 
-// putUnused puts back a connection on which nothing was sent.
+// putUnused returns to the pool a connection on which nothing was sent.
 func (p *Pool) putUnused(c *conn) {
 	if c.idleLimit == 0 {
 		c.idleLimit = defaultIdleLimit
@@ -273,8 +270,7 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Sweep closes connections that have been idle for too long. It is called from
-// time to time.
+// Sweep closes connections whose idle limit has passed. It must be called periodically.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -294,8 +290,8 @@
 	}
 }
 
-// CloseIdle closes the idle connections to an address whose server has started again: what
-// is sent on one is lost, and it stays open whether it has run.
+// CloseIdle closes the idle connections to an address whose server has restarted. A request sent
+// on one of them would be lost, and it would be unknown whether it ran.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -305,8 +301,8 @@
 	delete(p.idle, address)
 }
 
-// ConnectionRefused opens a connection to an address and reports whether nobody listens there. An
-// address that does not answer refuses nothing. The connection is kept for a request.
+// ConnectionRefused dials an address and reports whether the connection is refused or reset. An
+// address that does not answer counts as not refused. A successful connection is kept for reuse.
 func (p *Pool) ConnectionRefused(ctx context.Context, address string) bool {
 	p.mu.Lock()
 	closed := p.closed
@@ -329,8 +325,7 @@
 	return p.opened
 }
 
-// Close closes the idle connections; later ones are closed when their exchange
-// ends.
+// Close closes the idle connections. Connections in use are closed when their exchange ends.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -343,12 +338,11 @@
 	p.idle = map[string][]*conn{}
 }
 
-// Close ends the exchange. The connection is kept when the answer was read to
-// its end, the request was written whole and the server keeps it too.
+// Close ends the exchange. The connection is reused if the response was read to its end, the
+// request was written completely and the server keeps the connection open.
 func (r *Response) Close() { r.exchange.end() }
 
-// Drop ends the exchange and the connection, which tells the server that
-// nobody waits any more.
+// Drop ends the exchange and closes the connection, which cancels the request at the server.
 func (r *Response) Drop() { r.exchange.drop() }
 
 func (x *exchange) drop() {
@@ -365,13 +359,13 @@
 			x.pool.put(x.conn)
 			return
 		}
-		// An answer that came before the whole request was read ends the
-		// connection, so that nothing else is taken for the rest of the request.
+		// After a response that came before the whole request was written, close the connection,
+		// so that later data is not taken for the rest of the request.
 		x.conn.abort()
 	})
 }
 
-// wroteAll reports whether the whole request has left.
+// wroteAll reports whether the whole request has been written.
 func (x *exchange) wroteAll() bool {
 	select {
 	case err := <-x.written:
@@ -381,7 +375,7 @@
 	}
 }
 
-// body notes when an answer was read to its end.
+// body records when a response was read to its end.
 type body struct {
 	io.ReadCloser
 	exchange *exchange
@@ -395,6 +389,6 @@
 	return n, err
 }
 
-// Close implements io.Closer. The exchange owns the connection, so that an
-// unread rest is not drained here.
+// Close implements io.Closer. The exchange owns the connection, so the unread rest is not
+// drained here.
 func (b *body) Close() error { return nil }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -18,8 +18,8 @@
 	"github.com/plankridge/plankridge/internal/network"
 )
 
-// scriptedServer is a server that answers each request on a connection with the next of
-// its texts; an empty text closes the connection.
+// scriptedServer answers each request on a connection with the next of its texts. An empty text
+// closes the connection.
 type scriptedServer struct {
 	listener net.Listener
 	conns    chan int
@@ -69,7 +69,7 @@
 	answerTwo = "HTTP/1.1 200 OK\r\nRequest-Id: 2\r\nContent-Length: 3\r\n\r\ntwo"
 )
 
-// hasID takes the answer with a number.
+// hasID returns a matcher for responses with the given Request-Id.
 func hasID(id string) func(*http.Response) bool {
 	return func(r *http.Response) bool { return r.Header.Get("Request-Id") == id }
 }
@@ -109,8 +109,8 @@
 	c.Check(pool.Opened(), qt.Equals, int64(2))
 }
 
-// TestAnswerOfAnotherRequestIsSkipped: an answer that comes twice does not become
-// the answer of the next request.
+// TestAnswerOfAnotherRequestIsSkipped checks that a duplicate response to one request is not
+// taken as the response to the next.
 func TestAnswerOfAnotherRequestIsSkipped(t *testing.T) {
 	c := qt.New(t)
 	s := serve(c, answerOne+answerTwo)
@@ -121,7 +121,8 @@
 	c.Check(body, qt.Equals, "two")
 }
 
-// TestBytesAfterAnAnswerCondemnTheConnection: they belong to no request.
+// TestBytesAfterAnAnswerCondemnTheConnection checks that a connection with bytes after the end of
+// a response is not reused, because the bytes belong to no request.
 func TestBytesAfterAnAnswerCondemnTheConnection(t *testing.T) {
 	c := qt.New(t)
 	s := serve(c, answerOne+answerOne, answerTwo)
@@ -182,8 +183,8 @@
 	}
 }
 
-// TestAbandonedRequestIsDiscarded: the connection of a caller that has gone is
-// reset, so that nothing of its request arrives later.
+// TestAbandonedRequestIsDiscarded checks that the connection is reset when the caller has gone, so
+// that nothing of the request arrives later.
 func TestAbandonedRequestIsDiscarded(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
