--- a/internal/backup/backup.go
+++ b/internal/backup/backup.go
@@ -1,5 +1,5 @@
-// Package backup keeps copies of the requests that other daemons own, so that
-// they outlive their owner. It does no I/O.
+// Package backup stores copies of requests that other daemons own, so that the requests survive
+// a failure of their owners. It does no I/O.
 package backup
 
 import (
@@ -11,35 +11,34 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// Errors of the store.
+// Errors of a Store.
 var (
-	// ErrFull means that the store has no room for the copy.
+	// ErrFull means that the copy would exceed the memory limit of the store.
 	ErrFull = errors.New("backup has no room")
-	// ErrNoCopy means that an update does not fit the copy, or that there is
-	// none.
+	// ErrNoCopy means that there is no copy, or that the update would leave a gap in its tokens.
 	ErrNoCopy = errors.New("backup has no copy that the update fits")
 )
 
-// Owner is one process of a daemon. A restart makes another owner.
+// Owner is one process of a daemon. A restarted daemon is a different owner.
 type Owner struct {
 	Daemon      string
 	Incarnation uint64
-	// ListedRevision is a revision of the VM list that shows the daemon's VM. Only who
-	// has read the list up to there can tell its death by its absence.
+	// ListedRevision is a revision of the VM list that contains the daemon's VM. The absence of
+	// the VM proves its death only to readers whose list is at least that recent.
 	ListedRevision int64
 }
 
-// Copy is a request as its backup knows it.
+// Copy is the state of a request as stored by its backup.
 type Copy struct {
 	Owner  Owner
 	Spec   request.Spec
 	Tokens []string
-	// Permitted says that the owner may have sent the request, which is not
-	// idempotent. A permitted copy is never run.
+	// Permitted is set if the owner may have sent a request that is not idempotent. A permitted
+	// copy is never run.
 	Permitted bool
 }
 
-// Sizes by which the memory of a copy is estimated, in bytes.
+// Sizes for the estimate of a copy's memory, in bytes.
 const (
 	baseCopyBytes = 1024
 	bytesPerToken = 32
@@ -56,7 +55,7 @@
 	return size
 }
 
-// Store holds copies within a limit of memory.
+// Store holds copies up to a memory limit. It is safe for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	maxBytes int
@@ -64,13 +63,13 @@
 	copies   map[request.ID]*Copy
 }
 
-// NewStore returns an empty store that holds at most that many bytes.
-func NewStore(most int) *Store {
-	return &Store{maxBytes: most, copies: map[request.ID]*Copy{}}
+// NewStore returns an empty store that holds at most maxBytes bytes.
+func NewStore(maxBytes int) *Store {
+	return &Store{maxBytes: maxBytes, copies: map[request.ID]*Copy{}}
 }
 
-// Put keeps a copy. An older copy of the same request is replaced, but a
-// permit is never taken back.
+// Put stores a copy. It replaces an older copy of the same request, but never resets its
+// Permitted flag.
 func (s *Store) Put(c Copy) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,8 +86,7 @@
 	return nil
 }
 
-// Extend adds tokens to a copy. The offset is the number of tokens before
-// them.
+// Extend appends tokens to a copy. offset is the number of tokens before them.
 func (s *Store) Extend(id request.ID, offset int, tokens []string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +100,7 @@
 	return nil
 }
 
-// Release drops a copy.
+// Release drops a copy, if there is one.
 func (s *Store) Release(id request.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,14 +117,14 @@
 	return s.copies[id] != nil
 }
 
-// Size returns the number of copies and their memory in bytes.
+// Size returns the number of copies and their estimated memory in bytes.
 func (s *Store) Size() (copies, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.copies), s.bytes
 }
 
-// Owners returns the daemons that own copies, in order.
+// Owners returns the IDs of the daemons that own copies, sorted.
 func (s *Store) Owners() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,7 +135,7 @@
 	return slices.Sorted(maps.Keys(owners))
 }
 
-// TakeFromDead removes and returns the copies whose owner is proved dead.
+// TakeFromDead removes and returns the copies of dead owners.
 func (s *Store) TakeFromDead(dead func(Owner) bool) []Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
