--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -178,10 +178,10 @@
 		Registerer:      d.metrics,
 		OnViolation:     options.OnViolation,
 		PrepareKeyed: func(spec request.Spec) func(context.Context) error {
-			return d.keys.Prepare(spec)
+			return d.keys.IntentRecorder(spec)
 		},
 		OnKeyedEnd: func(spec request.Spec, answer *request.PlainAnswer, failure *request.Failure) {
-			d.keys.Ended(spec, spec.ID, answer, failure)
+			d.keys.RecordEnd(spec, spec.ID, answer, failure)
 		},
 	})
 	d.mesh.SetAdopter(d.dispatcher)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -314,7 +314,7 @@
 	flight := newFlight(spec)
 	flight.heldForPeer = true
 	flight.tokens = tokens
-	flight.publish(last, time.Now())
+	flight.publishLocked(last, time.Now())
 	d.retain(flight)
 }
 
--- a/internal/dispatch/flight.go
+++ b/internal/dispatch/flight.go
@@ -255,11 +255,11 @@
 	f.notifyReaders()
 }
 
-// close publishes the last event of a request whose final step has already been applied.
-func (f *Flight) close(last Event, now time.Time) {
+// publishLast publishes the last event of a request whose final step has already been applied.
+func (f *Flight) publishLast(last Event, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.publish(last, now)
+	f.publishLocked(last, now)
 }
 
 // step applies a step to the request's state machine.
@@ -308,11 +308,11 @@
 	if err := f.lifecycle.Apply(step); err != nil {
 		return err
 	}
-	f.publish(last, now)
+	f.publishLocked(last, now)
 	return nil
 }
 
-func (f *Flight) publish(last Event, now time.Time) {
+func (f *Flight) publishLocked(last Event, now time.Time) {
 	last.Offset = len(f.tokens)
 	f.lastEvent = &last
 	f.endedAt = now
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -43,7 +43,7 @@
 	if len(buffered) > maxBufferedAnswer {
 		if err := r.copyRest(answer); err != nil {
 			_ = r.step(request.StepCancel)
-			return result{outcome: backend.OutcomeNeutral, label: "cut", done: true, err: err}
+			return result{outcome: backend.OutcomeNeutral, logLabel: "cut", done: true, err: err}
 		}
 		r.reportCompleted(time.Now())
 	}
@@ -53,13 +53,13 @@
 	if answer.Status >= http.StatusInternalServerError {
 		outcome, signal = backend.OutcomeFailed, signalBad
 	}
-	return result{outcome: outcome, signal: signal, label: strconv.Itoa(answer.Status), done: true}
+	return result{outcome: outcome, signal: signal, logLabel: strconv.Itoa(answer.Status), done: true}
 }
 
 // endCallerLeft ends a call whose caller has disconnected.
 func (r *run) endCallerLeft() result {
 	_ = r.step(request.StepCancel)
-	return result{outcome: backend.OutcomeNeutral, label: "caller-left", done: true, err: errCallerLeft}
+	return result{outcome: backend.OutcomeNeutral, logLabel: "caller-left", done: true, err: errCallerLeft}
 }
 
 // shouldRetry reports whether to make another attempt after a server error instead of
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -16,8 +16,8 @@
 
 // result is the outcome of an attempt.
 type result struct {
-	outcome backend.Outcome
-	label   string
+	outcome  backend.Outcome
+	logLabel string
 	// signal rates the answer for the comparison of versions in a roll-out.
 	signal versionSignal
 	// connBroken is set when the peer broke the connection: its process may have ended.
@@ -47,7 +47,7 @@
 	// During a network partition the connection to the previous incarnation stays silent.
 	choice.OnRestart(func() { cancel(errRestarted) })
 	if err := r.step(request.StepDispatch); err != nil {
-		return result{outcome: backend.OutcomeNeutral, label: "not-allowed", done: true, err: r.giveUp(ctx, &Refusal{Reason: err.Error()})}
+		return result{outcome: backend.OutcomeNeutral, logLabel: "not-allowed", done: true, err: r.giveUp(ctx, &Refusal{Reason: err.Error()})}
 	}
 	r.charged = false
 	answer, err := r.options.Backend.Send(ctx, r.newAttempt(choice))
@@ -82,7 +82,7 @@
 func (r *run) endWithStep(step request.Step, outcome backend.Outcome, label string) result {
 	_ = r.step(step)
 	r.charged = r.verdict != nil && (step == request.StepNotSent || step == request.StepDeclined)
-	return result{outcome: outcome, label: label}
+	return result{outcome: outcome, logLabel: label}
 }
 
 // endNoAnswer ends an attempt whose server sent no response header. A server that stays
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -279,7 +279,7 @@
 		result := r.try(ctx, choice)
 		ended := time.Now()
 		choice.End(result.outcome, ended)
-		r.recordAttempt(choice, result.label, now, ended)
+		r.recordAttempt(choice, result.logLabel, now, ended)
 		r.reportToRollOut(choice, result, ended.Sub(now))
 		r.reportBroken(choice.Entry, result, now, ended)
 		if result.done {
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -55,7 +55,7 @@
 	answer.Exchange.Close()
 	r.reportCompleted(time.Now())
 	_ = r.step(request.StepAnswer)
-	return result{outcome: backend.OutcomeServed, signal: signalGood, label: strconv.Itoa(answer.Status), done: true}
+	return result{outcome: backend.OutcomeServed, signal: signalGood, logLabel: strconv.Itoa(answer.Status), done: true}
 }
 
 // forwardEvent sends one event to the caller. Events that the caller already has are
--- a/internal/keys/submit.go
+++ b/internal/keys/submit.go
@@ -147,7 +147,7 @@
 	key := *spec.Key
 	key.Turn = present.Turn
 	spec.Key = &key
-	m.Ended(spec, present.RequestID, answer, failure)
+	m.RecordEnd(spec, present.RequestID, answer, failure)
 	if answer != nil {
 		return Result{Verdict: VerdictReplay, RequestID: present.RequestID, Answer: answer}
 	}
@@ -184,8 +184,8 @@
 	return m.accept(spec, intent)
 }
 
-// Ended records the end of a request with a key, wherever it ran.
-func (m *Manager) Ended(spec request.Spec, id request.ID, answer *request.PlainAnswer, failure *request.Failure) {
+// RecordEnd records the end of a request with a key, wherever it ran.
+func (m *Manager) RecordEnd(spec request.Spec, id request.ID, answer *request.PlainAnswer, failure *request.Failure) {
 	intent := Record{Ref: spec.Key.KeyRef, RequestID: id, State: StateIntent, At: time.Now().UTC(), Turn: spec.Key.Turn}
 	record := endRecord(intent, StateUnknown, nil)
 	switch {
@@ -200,9 +200,9 @@
 	m.committer.Append(record)
 }
 
-// Prepare returns a function that records the intent of a request with a key that this daemon
+// IntentRecorder returns a function that records the intent of a request with a key that this daemon
 // has taken over from its owner.
-func (m *Manager) Prepare(spec request.Spec) func(context.Context) error {
+func (m *Manager) IntentRecorder(spec request.Spec) func(context.Context) error {
 	intent := Record{Ref: spec.Key.KeyRef, RequestID: spec.ID, State: StateIntent, At: spec.Accepted.UTC(), Turn: spec.Key.Turn}
 	return func(ctx context.Context) error { return m.recordIntent(ctx, intent) }
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -163,9 +163,9 @@
 	return w.Flush()
 }
 
-// maxSkippedAnswers is the number of response headers that are read in search of the matching
+// maxResponsesRead is the number of response headers that are read in search of the matching
 // one; interim responses count.
-const maxSkippedAnswers = 3
+const maxResponsesRead = 3
 
 // errOtherRequests means that all responses read belong to other requests.
 var errOtherRequests = errors.New("answers belong to other requests")
@@ -173,7 +173,7 @@
 // readHead reads the header of the response to req. It skips interim responses and responses to
 // other requests.
 func readHead(r *bufio.Reader, req *http.Request, matches func(*http.Response) bool) (*http.Response, error) {
-	for range maxSkippedAnswers {
+	for range maxResponsesRead {
 		resp, err := http.ReadResponse(r, req)
 		if err != nil {
 			return nil, err
