--- a/internal/keys/model_test.go
+++ b/internal/keys/model_test.go
@@ -68,34 +68,34 @@
 const modelZone = "z"
 
 func (m *model) start() modelState {
-	w := modelState{submissions: m.submissions, crashes: m.crashes, restarts: m.restarts, leaves: m.leaves}
+	s := modelState{submissions: m.submissions, crashes: m.crashes, restarts: m.restarts, leaves: m.leaves}
 	for _, daemon := range []string{"a", "b"} {
-		w.procs = append(w.procs, modelProc{self: Holder{Daemon: daemon, Incarnation: 1}, alive: true})
+		s.procs = append(s.procs, modelProc{self: Holder{Daemon: daemon, Incarnation: 1}, alive: true})
 	}
-	return w
+	return s
 }
 
 // clone returns a copy whose slices can be changed independently.
-func (w *modelState) clone() modelState {
-	next := *w
-	next.procs = slices.Clone(w.procs)
+func (s *modelState) clone() modelState {
+	next := *s
+	next.procs = slices.Clone(s.procs)
 	for i := range next.procs {
 		next.procs[i].pending = slices.Clone(next.procs[i].pending)
 		next.procs[i].collected = slices.Clone(next.procs[i].collected)
 	}
-	next.log = slices.Clone(w.log)
+	next.log = slices.Clone(s.log)
 	return next
 }
 
-func (w *modelState) identity() string {
-	text := fmt.Sprint(w.submissions, w.crashes, w.restarts, w.leaves, w.runs, "|", recordSet(w.log), homesText(&w.homes))
-	for _, p := range w.procs {
+func (s *modelState) identity() string {
+	text := fmt.Sprint(s.submissions, s.crashes, s.restarts, s.leaves, s.runs, "|", recordSet(s.log), homesText(&s.homes))
+	for _, p := range s.procs {
 		key := "-"
 		if p.known != nil {
 			key = recordSet([]Record{*p.known})
 		}
 		view := homesText(&p.view)
-		if p.version == w.version {
+		if p.version == s.version {
 			view = "now"
 		}
 		text += fmt.Sprint(p.self.Incarnation, p.alive, view, recordSet(p.collected), p.collected == nil, p.serving, key, recordSet(p.pending), p.ownRequest, p.maySend, p.sent, ";")
@@ -118,9 +118,9 @@
 }
 
 // provedDead returns the predicate that proves a death. Only a crash proves it.
-func (w *modelState) provedDead(m *model) func(Holder) bool {
+func (s *modelState) provedDead(m *model) func(Holder) bool {
 	return func(h Holder) bool {
-		for _, p := range w.procs {
+		for _, p := range s.procs {
 			if p.self.sameProcess(h) {
 				return !p.alive || m.fault == faultSilenceIsDeath
 			}
@@ -145,50 +145,50 @@
 }
 
 // steps returns all states that one step of process i leads to.
-func (m *model) steps(w *modelState, i int) []modelState {
+func (m *model) steps(s *modelState, i int) []modelState {
 	var next []modelState
-	try := func(allowed bool, step func(w *modelState, p *modelProc)) {
+	try := func(allowed bool, step func(s *modelState, p *modelProc)) {
 		if allowed {
-			after := w.clone()
+			after := s.clone()
 			step(&after, &after.procs[i])
 			next = append(next, after)
 		}
 	}
-	p := &w.procs[i]
+	p := &s.procs[i]
 	if !p.alive {
-		try(w.restarts > 0, func(w *modelState, p *modelProc) {
-			w.restarts--
+		try(s.restarts > 0, func(s *modelState, p *modelProc) {
+			s.restarts--
 			*p = modelProc{self: Holder{Daemon: p.self.Daemon, Incarnation: p.self.Incarnation + 1}, alive: true}
 		})
 		return next
 	}
-	try(p.version != w.version, func(w *modelState, p *modelProc) { p.view, p.version = w.homes, w.version })
-	try(p.version == w.version && !p.serving, func(w *modelState, p *modelProc) { m.claim(w, p) })
-	m.serveSteps(w, p, try)
-	m.requestSteps(w, p, i, try)
-	try(w.crashes > 0, func(w *modelState, p *modelProc) {
-		w.crashes--
+	try(p.version != s.version, func(s *modelState, p *modelProc) { p.view, p.version = s.homes, s.version })
+	try(p.version == s.version && !p.serving, func(s *modelState, p *modelProc) { m.claim(s, p) })
+	m.serveSteps(s, p, try)
+	m.requestSteps(s, p, i, try)
+	try(s.crashes > 0, func(s *modelState, p *modelProc) {
+		s.crashes--
 		*p = modelProc{self: p.self}
 	})
 	return next
 }
 
 // claim performs the conditional update of the homes.
-func (m *model) claim(w *modelState, p *modelProc) {
+func (m *model) claim(s *modelState, p *modelProc) {
 	homes, enrolled := p.view.Enrol(modelZone, p.self)
-	homes, claimed := homes.Claim(modelZone, p.self, []string{"a", "b"}, w.provedDead(m), true)
+	homes, claimed := homes.Claim(modelZone, p.self, []string{"a", "b"}, s.provedDead(m), true)
 	if enrolled || claimed {
-		w.homes, w.version = *homes, w.version+1
-		p.view, p.version = w.homes, w.version
+		s.homes, s.version = *homes, s.version+1
+		p.view, p.version = s.homes, s.version
 	}
 }
 
 // serveSteps are the two steps before serving: collect the peers' records, then read the log.
 func (m *model) serveSteps(_ *modelState, p *modelProc, try func(bool, func(*modelState, *modelProc))) {
 	holds := p.view.Holder(modelZone, 0).sameProcess(p.self) && !p.serving
-	ask := func(w *modelState, p *modelProc) []Record {
+	ask := func(s *modelState, p *modelProc) []Record {
 		records := slices.Clone(p.pending)
-		for _, other := range w.procs {
+		for _, other := range s.procs {
 			enrolled := p.view.Enrolled[other.self.Daemon].sameProcess(other.self)
 			if enrolled && other.alive && m.fault != faultNoCollect {
 				records = append(records, other.pending...)
@@ -196,16 +196,16 @@
 		}
 		return records
 	}
-	first, second := ask, func(w *modelState, _ *modelProc) []Record { return w.log }
+	first, second := ask, func(s *modelState, _ *modelProc) []Record { return s.log }
 	if m.fault == faultLogBeforePeers {
 		first, second = second, first
 	}
-	try(holds && p.collected == nil, func(w *modelState, p *modelProc) {
-		p.collected = append([]Record{}, first(w, p)...)
+	try(holds && p.collected == nil, func(s *modelState, p *modelProc) {
+		p.collected = append([]Record{}, first(s, p)...)
 	})
-	try(holds && p.collected != nil, func(w *modelState, p *modelProc) {
+	try(holds && p.collected != nil, func(s *modelState, p *modelProc) {
 		l := p.ledger()
-		for _, record := range append(p.collected, second(w, p)...) {
+		for _, record := range append(p.collected, second(s, p)...) {
 			l.Apply(record)
 		}
 		p.saveLedger(l)
@@ -215,11 +215,11 @@
 
 // requestSteps are the submission of a request with the key, the recording of its intent, its
 // sending and its end.
-func (m *model) requestSteps(w *modelState, p *modelProc, i int, try func(bool, func(*modelState, *modelProc))) {
-	try(p.serving && w.submissions > 0, func(w *modelState, p *modelProc) {
-		w.submissions--
+func (m *model) requestSteps(s *modelState, p *modelProc, i int, try func(bool, func(*modelState, *modelProc))) {
+	try(p.serving && s.submissions > 0, func(s *modelState, p *modelProc) {
+		s.submissions--
 		l := p.ledger()
-		intent := Record{Ref: Ref{Hash: "k", Zone: modelZone}, RequestID: request.ID(fmt.Sprint(p.self, w.submissions)), State: StateIntent, At: time.Unix(0, 0)}
+		intent := Record{Ref: Ref{Hash: "k", Zone: modelZone}, RequestID: request.ID(fmt.Sprint(p.self, s.submissions)), State: StateIntent, At: time.Unix(0, 0)}
 		if present, begun, _ := l.Begin(intent); begun {
 			p.pending = append(p.pending, present)
 			p.ownRequest = present.RequestID
@@ -228,19 +228,19 @@
 		p.saveLedger(l)
 	})
 	mine := p.known != nil && p.known.State == StateIntent && p.known.RequestID == p.ownRequest
-	try(len(p.pending) > 0, func(w *modelState, p *modelProc) {
+	try(len(p.pending) > 0, func(s *modelState, p *modelProc) {
 		p.maySend = p.maySend || (mine && p.serving)
-		w.log = append(w.log, p.pending...)
+		s.log = append(s.log, p.pending...)
 		p.pending = nil
 	})
-	other := &w.procs[1-i]
-	try(m.peersKeep && mine && !p.maySend && other.alive && other.view.Enrolled[other.self.Daemon].sameProcess(other.self), func(w *modelState, p *modelProc) {
-		w.procs[1-i].pending = append(w.procs[1-i].pending, *p.known)
+	other := &s.procs[1-i]
+	try(m.peersKeep && mine && !p.maySend && other.alive && other.view.Enrolled[other.self.Daemon].sameProcess(other.self), func(s *modelState, p *modelProc) {
+		s.procs[1-i].pending = append(s.procs[1-i].pending, *p.known)
 		p.maySend = true
 	})
-	try(p.maySend && !p.sent, func(w *modelState, p *modelProc) {
+	try(p.maySend && !p.sent, func(s *modelState, p *modelProc) {
 		p.sent = true
-		w.runs++
+		s.runs++
 	})
 	try(p.sent && p.known.State == StateIntent, func(_ *modelState, p *modelProc) {
 		done := endRecord(*p.known, StateDone, nil)
@@ -248,10 +248,10 @@
 		p.pending = append(p.pending, done)
 	})
 	idle := p.known == nil || p.known.State != StateIntent || !mine
-	try(w.leaves > 0 && p.serving && idle && len(p.pending) == 0 && p.version == w.version, func(w *modelState, p *modelProc) {
-		w.leaves--
-		w.homes, w.version = *p.view.Release(modelZone, p.self), w.version+1
-		*p = modelProc{self: p.self, alive: true, view: w.homes, version: w.version}
+	try(s.leaves > 0 && p.serving && idle && len(p.pending) == 0 && p.version == s.version, func(s *modelState, p *modelProc) {
+		s.leaves--
+		s.homes, s.version = *p.view.Release(modelZone, p.self), s.version+1
+		*p = modelProc{self: p.self, alive: true, view: s.homes, version: s.version}
 	})
 }
 
@@ -262,16 +262,16 @@
 	seen := map[string]bool{begin.identity(): true}
 	frontier := []modelState{begin}
 	for len(frontier) > 0 {
-		w := frontier[len(frontier)-1]
+		s := frontier[len(frontier)-1]
 		frontier = frontier[:len(frontier)-1]
-		if w.runs > 1 {
-			return len(seen), &w
+		if s.runs > 1 {
+			return len(seen), &s
 		}
-		for i := range w.procs {
-			for _, next := range m.steps(&w, i) {
+		for i := range s.procs {
+			for _, next := range m.steps(&s, i) {
 				if id := next.identity(); !seen[id] {
 					seen[id] = true
-					next.path = append(slices.Clip(w.path), id)
+					next.path = append(slices.Clip(s.path), id)
 					frontier = append(frontier, next)
 				}
 			}
@@ -296,10 +296,10 @@
 
 func TestModelFindsSeededFaults(t *testing.T) {
 	c := qt.New(t)
-	for _, mistake := range []seededFault{faultSilenceIsDeath, faultLogBeforePeers, faultSendBeforeIntent, faultNoCollect} {
-		m := &model{submissions: 2, crashes: 1, restarts: 1, peersKeep: true, fault: mistake}
+	for _, fault := range []seededFault{faultSilenceIsDeath, faultLogBeforePeers, faultSendBeforeIntent, faultNoCollect} {
+		m := &model{submissions: 2, crashes: 1, restarts: 1, peersKeep: true, fault: fault}
 		_, violation := m.explore()
-		c.Check(violation, qt.IsNotNil, qt.Commentf("%s", mistake))
+		c.Check(violation, qt.IsNotNil, qt.Commentf("%s", fault))
 	}
 }
 
