--- a/internal/dispatch/replicate.go
+++ b/internal/dispatch/replicate.go
@@ -91,7 +91,7 @@
 	if backup == "" || flight.movedAway() {
 		return
 	}
-	// Stopping the daemon does not end its requests: their copies must remain, so d.ctx applies.
+	// Stop cancels d.ctx. It does not end the requests, so their copies must remain.
 	ctx, cancel := context.WithTimeout(d.ctx, copyTimeout)
 	defer cancel()
 	if err := d.options.Replicator.Release(ctx, backup, flight.spec.ID); err != nil {
@@ -136,8 +136,9 @@
 	return f.lifecycle.State() == request.StateHandedOver
 }
 
-// Evacuate hands over all requests that have not ended. Non-idempotent requests that may have
-// run stay here. Their readers are redirected, and the result is handed over when available.
+// Evacuate hands over all requests that have not ended, and the unread answers of those that
+// have. Non-idempotent requests that may have run stay here. Their readers are redirected, and
+// the result is handed over when available.
 func (d *Dispatcher) Evacuate(ctx context.Context) {
 	d.mu.Lock()
 	d.draining = true
