--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -44,7 +44,8 @@
 	defer cancel(nil)
 	stopTimer := r.startSilenceTimer(cancel)
 	defer stopTimer()
-	// During a network partition the connection to the previous incarnation stays silent.
+	// During a network partition the connection to the previous incarnation stays silent, so
+	// the attempt ends when the server is known to have restarted.
 	choice.OnRestart(func() { cancel(errRestarted) })
 	if err := r.step(request.StepDispatch); err != nil {
 		return result{outcome: backend.OutcomeNeutral, logLabel: "not-allowed", done: true, err: r.giveUp(ctx, &Refusal{Reason: err.Error()})}
--- a/internal/forward/record.go
+++ b/internal/forward/record.go
@@ -14,7 +14,7 @@
 	Server string `json:"server"`
 	Zone   string `json:"zone"`
 	Result string `json:"result"`
-	// AtMS is when the attempt began, in milliseconds since the call arrived.
+	// AtMS is the start of the attempt in milliseconds since the call arrived.
 	AtMS   int64 `json:"at_ms"`
 	TookMS int64 `json:"took_ms"`
 	// WaitMS is the predicted time to the first event. OwnMS is the part of it that the
