--- a/internal/dispatch/flight.go
+++ b/internal/dispatch/flight.go
@@ -255,8 +255,8 @@
 	f.notifyReaders()
 }
 
-// publishLast publishes the last event of a request whose final step has already been applied.
-func (f *Flight) publishLast(last Event, now time.Time) {
+// close publishes the last event of a request whose final step has already been applied.
+func (f *Flight) close(last Event, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.publishLocked(last, now)
--- a/internal/dispatch/replicate.go
+++ b/internal/dispatch/replicate.go
@@ -182,12 +182,12 @@
 	backup, _ := flight.copyState()
 	err := d.options.Replicator.TakeOver(ctx, backup, Copy{Spec: flight.spec, Tokens: flight.producedTokens()})
 	if err == nil {
-		flight.publishLast(Event{Moved: true}, time.Now())
+		flight.close(Event{Moved: true}, time.Now())
 		return
 	}
 	d.log(flight).Error("cannot hand over request", "error", err)
 	outcome := request.OutcomeUnknown
-	flight.publishLast(Event{Failure: &request.Failure{
+	flight.close(Event{Failure: &request.Failure{
 		Outcome: outcome, Detail: "the daemon left and no other has confirmed the request", Status: http.StatusServiceUnavailable,
 	}}, time.Now())
 }
