--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -44,7 +44,7 @@
 		homes := &Homes{}
 		members := []string{"a", "b", "c"}
 		dead := map[string]bool{}
-		for range rapid.IntRange(1, 30).Draw(t, "claims") {
+		for range rapid.IntRange(1, 30).Draw(t, "looks") {
 			self := Holder{Daemon: rapid.SampledFrom(members).Draw(t, "who"), Incarnation: 1}
 			if rapid.Bool().Draw(t, "dies") {
 				dead[self.Daemon] = true
