--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -168,8 +168,8 @@
 	}
 	_, _, err := ledger.Begin(Record{Ref: Ref{Hash: "new"}, At: now.Add(time.Hour)})
 	c.Check(errors.Is(err, ErrFull), qt.IsTrue)
-	_, begun, err := ledger.Begin(Record{Ref: Ref{Hash: "new"}, At: now.Add(Retention)})
+	_, claimed, err := ledger.Begin(Record{Ref: Ref{Hash: "new"}, At: now.Add(Retention)})
 	c.Check(err, qt.IsNil)
-	c.Check(begun, qt.IsTrue)
+	c.Check(claimed, qt.IsTrue)
 	c.Check(ledger.Len(), qt.Equals, 1)
 }
--- a/internal/keys/model_test.go
+++ b/internal/keys/model_test.go
@@ -220,9 +220,9 @@
 		s.submissions--
 		l := p.ledger()
 		intent := Record{Ref: Ref{Hash: "k", Zone: modelZone}, RequestID: request.ID(fmt.Sprint(p.self, s.submissions)), State: StateIntent, At: time.Unix(0, 0)}
-		if present, begun, _ := l.Begin(intent); begun {
-			p.pending = append(p.pending, present)
-			p.ownRequest = present.RequestID
+		if current, claimed, _ := l.Begin(intent); claimed {
+			p.pending = append(p.pending, current)
+			p.ownRequest = current.RequestID
 			p.maySend = m.fault == faultSendBeforeIntent
 		}
 		p.saveLedger(l)
--- a/internal/keys/record.go
+++ b/internal/keys/record.go
@@ -58,22 +58,22 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{records: map[string]Record{}} }
 
-// supersedes reports whether next replaces present. The log may be read in any order and more
+// supersedes reports whether next replaces current. The log may be read in any order and more
 // than once: a later request replaces an earlier one, and for one request the end replaces the
 // intent.
-func supersedes(next, present Record) bool {
-	if next.Turn != present.Turn {
-		return next.Turn > present.Turn
+func supersedes(next, current Record) bool {
+	if next.Turn != current.Turn {
+		return next.Turn > current.Turn
 	}
-	return present.State == StateIntent || next.State == StateDone
+	return current.State == StateIntent || next.State == StateDone
 }
 
 // Apply merges a record of the log.
 func (l *Ledger) Apply(record Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	present, known := l.records[record.Ref.Hash]
-	if !known || supersedes(record, present) {
+	current, known := l.records[record.Ref.Hash]
+	if !known || supersedes(record, current) {
 		l.records[record.Ref.Hash] = record
 	}
 }
@@ -83,11 +83,11 @@
 func (l *Ledger) Begin(record Record) (Record, bool, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	present, known := l.records[record.Ref.Hash]
-	if known && present.State != StateNotRun && record.At.Sub(present.At) < Retention {
-		return present, false, nil
+	current, known := l.records[record.Ref.Hash]
+	if known && current.State != StateNotRun && record.At.Sub(current.At) < Retention {
+		return current, false, nil
 	}
-	record.Turn = present.Turn + 1
+	record.Turn = current.Turn + 1
 	if !known && len(l.records) >= maxRecords {
 		l.dropExpired(record.At)
 		if len(l.records) >= maxRecords {
@@ -112,9 +112,9 @@
 func (l *Ledger) Replace(old, next Record) (Record, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	present := l.records[old.Ref.Hash]
-	if present.RequestID != old.RequestID || present.Turn != old.Turn || present.State != old.State {
-		return present, false
+	current := l.records[old.Ref.Hash]
+	if current.RequestID != old.RequestID || current.Turn != old.Turn || current.State != old.State {
+		return current, false
 	}
 	next.Turn = old.Turn + 1
 	l.records[next.Ref.Hash] = next
--- a/internal/keys/starting_test.go
+++ b/internal/keys/starting_test.go
@@ -25,9 +25,9 @@
 	c := qt.New(t)
 	m := &Manager{options: Options{Peers: noRequestPeers{}}, starting: map[request.ID]bool{}}
 	spec := request.Spec{Kind: request.KindPlain, Key: &request.Key{}}
-	present := Record{RequestID: "first", State: StateIntent}
+	current := Record{RequestID: "first", State: StateIntent}
 	m.markStarting("first")
-	c.Check(m.inFlight(context.Background(), spec, present, Record{RequestID: "second"}).Verdict, qt.Equals, VerdictInFlight)
+	c.Check(m.inFlight(context.Background(), spec, current, Record{RequestID: "second"}).Verdict, qt.Equals, VerdictInFlight)
 	m.markStarted("first")
-	c.Check(m.inFlight(context.Background(), spec, present, Record{RequestID: "second"}).Verdict, qt.Equals, VerdictUnknown)
+	c.Check(m.inFlight(context.Background(), spec, current, Record{RequestID: "second"}).Verdict, qt.Equals, VerdictUnknown)
 }
--- a/internal/keys/submit.go
+++ b/internal/keys/submit.go
@@ -36,16 +36,16 @@
 	m.markStarting(spec.ID)
 	defer m.markStarted(spec.ID)
 	intent := Record{Ref: ref, RequestID: spec.ID, State: StateIntent, At: time.Now().UTC()}
-	present, begun, err := m.ledger.Begin(intent)
+	current, claimed, err := m.ledger.Begin(intent)
 	if err != nil {
 		return Result{Verdict: VerdictRefused, Refusal: &dispatch.Refusal{
 			Status: http.StatusServiceUnavailable, Detail: err.Error(), RetryAfter: time.Minute,
 		}}
 	}
-	if begun {
-		return m.accept(spec, present)
+	if claimed {
+		return m.accept(spec, current)
 	}
-	return m.answerRepeated(ctx, spec, present, intent)
+	return m.answerRepeated(ctx, spec, current, intent)
 }
 
 func (m *Manager) markStarting(id request.ID) {
@@ -102,17 +102,17 @@
 }
 
 // answerRepeated handles a request whose key is taken.
-func (m *Manager) answerRepeated(ctx context.Context, spec request.Spec, present, intent Record) Result {
-	if present.Ref.Fingerprint != intent.Ref.Fingerprint {
-		return Result{Verdict: VerdictMismatch, RequestID: present.RequestID}
+func (m *Manager) answerRepeated(ctx context.Context, spec request.Spec, current, intent Record) Result {
+	if current.Ref.Fingerprint != intent.Ref.Fingerprint {
+		return Result{Verdict: VerdictMismatch, RequestID: current.RequestID}
 	}
-	switch present.State {
+	switch current.State {
 	case StateDone:
-		return replay(present)
+		return replay(current)
 	case StateIntent:
-		return m.inFlight(ctx, spec, present, intent)
+		return m.inFlight(ctx, spec, current, intent)
 	}
-	return m.rerun(spec, present, intent)
+	return m.rerun(spec, current, intent)
 }
 
 func replay(record Record) Result {
@@ -124,14 +124,14 @@
 
 // inFlight handles a request whose key belongs to a request that has begun and whose end is not
 // recorded here. That request runs here or, after a takeover, at another daemon.
-func (m *Manager) inFlight(ctx context.Context, spec request.Spec, present, intent Record) Result {
-	running := Result{Verdict: VerdictInFlight, RequestID: present.RequestID}
-	if m.isStarting(present.RequestID) {
+func (m *Manager) inFlight(ctx context.Context, spec request.Spec, current, intent Record) Result {
+	running := Result{Verdict: VerdictInFlight, RequestID: current.RequestID}
+	if m.isStarting(current.RequestID) {
 		return running
 	}
-	source, err := m.options.Peers.Locate(ctx, present.RequestID)
+	source, err := m.options.Peers.Locate(ctx, current.RequestID)
 	if errors.Is(err, dispatch.ErrNotFound) {
-		return m.rerun(spec, present, intent)
+		return m.rerun(spec, current, intent)
 	}
 	if err != nil {
 		return running
@@ -145,17 +145,17 @@
 		return running
 	}
 	key := *spec.Key
-	key.Turn = present.Turn
+	key.Turn = current.Turn
 	spec.Key = &key
-	m.RecordEnd(spec, present.RequestID, answer, failure)
+	m.RecordEnd(spec, current.RequestID, answer, failure)
 	if answer != nil {
-		return Result{Verdict: VerdictReplay, RequestID: present.RequestID, Answer: answer}
+		return Result{Verdict: VerdictReplay, RequestID: current.RequestID, Answer: answer}
 	}
 	if failure.Outcome == request.OutcomeNotRun {
-		present.State = StateNotRun
-		return m.rerun(spec, present, intent)
+		current.State = StateNotRun
+		return m.rerun(spec, current, intent)
 	}
-	return Result{Verdict: VerdictUnknown, RequestID: present.RequestID}
+	return Result{Verdict: VerdictUnknown, RequestID: current.RequestID}
 }
 
 // readOutcome reads the last event of a request that has ended.
@@ -173,12 +173,12 @@
 
 // rerun runs a request if the earlier request with its key has not run or is idempotent.
 // Otherwise the outcome of the earlier request stays unknown.
-func (m *Manager) rerun(spec request.Spec, present, intent Record) Result {
-	if present.State != StateNotRun && !spec.Idempotent() {
-		return Result{Verdict: VerdictUnknown, RequestID: present.RequestID}
+func (m *Manager) rerun(spec request.Spec, current, intent Record) Result {
+	if current.State != StateNotRun && !spec.Idempotent() {
+		return Result{Verdict: VerdictUnknown, RequestID: current.RequestID}
 	}
-	intent, begun := m.ledger.Replace(present, intent)
-	if !begun {
+	intent, claimed := m.ledger.Replace(current, intent)
+	if !claimed {
 		return Result{Verdict: VerdictInFlight, RequestID: intent.RequestID}
 	}
 	return m.accept(spec, intent)
