--- a/internal/dispatch/replicate.go
+++ b/internal/dispatch/replicate.go
@@ -147,11 +147,11 @@
 		flights = append(flights, flight)
 	}
 	d.mu.Unlock()
-	var moving sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, flight := range flights {
-		moving.Go(func() { d.evacuate(ctx, flight) })
+		wg.Go(func() { d.evacuate(ctx, flight) })
 	}
-	moving.Wait()
+	wg.Wait()
 }
 
 func (d *Dispatcher) evacuate(ctx context.Context, flight *Flight) {
