--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -63,7 +63,7 @@
 	dispatcher *dispatch.Dispatcher
 	burn       *burn.Recorder
 	mesh       *peer.Mesh
-	quarantine *watch.Watch
+	quarantine *watch.Watcher
 	keys       *keys.Manager
 	creds      *peer.Credentials
 
@@ -147,9 +147,9 @@
 	d.registry = discovery.NewRegistry(d.settings.Daemon.ID, d.logger)
 	d.follower = generation.NewFollower(generation.Values(d.objects), d.logger, d.metrics, d.registry, d.limiter)
 	d.quarantine = watch.New(watch.Options{
-		Round:  func(time.Time) time.Duration { return peer.TriggeredHeartbeatDelay },
-		Soon:   func() { d.mesh.TriggerHeartbeats() },
-		Logger: d.logger,
+		ReportInterval: func(time.Time) time.Duration { return peer.TriggeredHeartbeatDelay },
+		NotifyPeers:    func() { d.mesh.TriggerHeartbeats() },
+		Logger:         d.logger,
 	})
 	d.mesh = peer.NewMesh(peer.Options{
 		Self:        d.VM(),
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -40,7 +40,7 @@
 	Burn       *burn.Recorder
 	// Quarantine blocks requests that crash servers. If nil, the dispatcher uses its own,
 	// which receives no reports from other daemons.
-	Quarantine *watch.Watch
+	Quarantine *watch.Watcher
 	// Dial opens a connection to a server, to check whether a process listens there.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// OnAdviceChanged is called when advice in an answer has changed a server's state. It may be nil.
--- a/internal/dispatch/flight.go
+++ b/internal/dispatch/flight.go
@@ -49,7 +49,7 @@
 type Flight struct {
 	spec request.Spec
 	// content is the identity by which the quarantine recognizes identical requests.
-	content quarantine.Content
+	content quarantine.Digest
 	done    chan struct{}
 	// firstToken is the time from acceptance to the first token. Only the goroutine of the
 	// running attempt uses it.
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -22,16 +22,16 @@
 const quarantineRetryAfter = 30 * time.Second
 
 // ContentOf returns the identity by which the quarantine recognizes identical requests.
-func ContentOf(spec *request.Spec) quarantine.Content {
+func ContentOf(spec *request.Spec) quarantine.Digest {
 	if spec.Plain != nil {
-		return quarantine.ContentOf(spec.Workspace, spec.Plain.Method, spec.Service, spec.Plain.Path, spec.Plain.Body)
+		return quarantine.DigestOf(spec.Workspace, spec.Plain.Method, spec.Service, spec.Plain.Path, spec.Plain.Body)
 	}
 	encoded, err := json.Marshal(spec.Model)
 	if err != nil {
 		// Strings, numbers and bytes can always be encoded.
 		panic(err)
 	}
-	return quarantine.ContentOf(spec.Workspace, string(spec.Kind), spec.Service, "", encoded)
+	return quarantine.DigestOf(spec.Workspace, string(spec.Kind), spec.Service, "", encoded)
 }
 
 // refuseQuarantined refuses a request that the quarantine blocks.
@@ -59,16 +59,16 @@
 func (d *Dispatcher) reportBroken(flight *Flight, server route.Server, sent, at time.Time) {
 	d.options.Quarantine.Broke(watch.Server{
 		Key: serverEndKey(server.ID, at), ID: server.ID, Service: flight.spec.Service,
-		Ended: func(ctx context.Context) bool { return d.serverEnded(ctx, server.Address) },
-	}, quarantine.Lost{Content: flight.content, Sent: sent}, false, at)
+		Exited: func(ctx context.Context) bool { return d.serverEnded(ctx, server.Address) },
+	}, quarantine.LostRequest{Digest: flight.content, SentAt: sent}, false, at)
 }
 
 // serverEndKey identifies one end of a server's process. A restarted process keeps the ID of
 // its VM, and the VM list does not distinguish its restarts, so the key includes the second of
 // the end. All attempts that one end breaks fail within milliseconds, and no process restarts
 // within a second.
-func serverEndKey(id string, at time.Time) quarantine.Server {
-	return quarantine.Server(xxhash.Sum64String(id + "/" + strconv.FormatInt(at.Unix(), 10)))
+func serverEndKey(id string, at time.Time) quarantine.ServerInstance {
+	return quarantine.ServerInstance(xxhash.Sum64String(id + "/" + strconv.FormatInt(at.Unix(), 10)))
 }
 
 // serverEnded reports whether the connection to a server's address is refused.
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -18,16 +18,16 @@
 
 // The lease's place in the store.
 const (
-	Kind = "plankridge-leases"
-	Name = "cloud"
+	LeaseKind = "plankridge-leases"
+	LeaseName = "cloud"
 )
 
 // ErrDeclined means that the cloud did nothing: it has seen a higher fencing
 // number, or has no such server to give.
 var ErrDeclined = errors.New("cloud declined")
 
-// Right is the right to act, as the cloud checks it.
-type Right struct {
+// FencingToken is the right to act, as the cloud checks it.
+type FencingToken struct {
 	Holder string
 	Fence  int64
 }
@@ -42,8 +42,8 @@
 
 // Cloud takes the calls of the holder.
 type Cloud interface {
-	ReportUsage(ctx context.Context, right Right, window int64, counts usage.Counts) error
-	Scale(ctx context.Context, right Right, order Order) error
+	ReportUsage(ctx context.Context, right FencingToken, window int64, counts usage.Counts) error
+	Scale(ctx context.Context, right FencingToken, order Order) error
 }
 
 // Peers tells what is known of the other daemons' part in the lease.
@@ -61,20 +61,20 @@
 }
 
 const (
-	// tick is how often the lease is looked at.
-	tick = 100 * time.Millisecond
-	// renewEvery is the time between renewals. What daemons should know after the death
+	// leaseTick is how often the lease is looked at.
+	leaseTick = 100 * time.Millisecond
+	// renewInterval is the time between renewals. What daemons should know after the death
 	// of all stands beside them: with a second between them, a workspace that began to
 	// ask for four times its allowance some second before got up to 1.13 of what the rule
 	// allows, with half a second 1.06 (histories of 300 daemons, offsets of 0.2 to 2.2 s). A
 	// renewal more a second costs a calm day 0.001 of its worth, by the price of its calls.
-	renewEvery = 500 * time.Millisecond
-	// retryEvery is the time between tries of a renewal that fails.
-	retryEvery = 300 * time.Millisecond
-	// challengeEvery is the time between two looks at a lease without a known
+	renewInterval = 500 * time.Millisecond
+	// renewRetryInterval is the time between tries of a renewal that fails.
+	renewRetryInterval = 300 * time.Millisecond
+	// acquireInterval is the time between two looks at a lease without a known
 	// holder, and turn the time by which each daemon in rank waits longer.
-	challengeEvery = 500 * time.Millisecond
-	turn           = 500 * time.Millisecond
+	acquireInterval = 500 * time.Millisecond
+	rankDelay       = 500 * time.Millisecond
 )
 
 // Options are what a Holder works with.
@@ -88,66 +88,66 @@
 	Store    store.Store
 	Peers    Peers
 	Logger   *slog.Logger
-	// Soon spreads a change of the holder.
-	Soon func()
-	// Remember returns what is written beside each renewal, in place of what stands there.
-	Remember func(standing lease.Snapshot) lease.Snapshot
+	// NotifyPeers spreads a change of the holder.
+	NotifyPeers func()
+	// BuildMemory returns what is written beside each renewal, in place of what stands there.
+	BuildMemory func(standing lease.Snapshot) lease.Snapshot
 	// Now is the clock of the lease; nil is one that goes on while the VM is suspended.
 	Now func() time.Time
-	// Learn takes over what a record that was read says.
-	Learn func(lease.Snapshot)
+	// OnMemory takes over what a record that was read says.
+	OnMemory func(lease.Snapshot)
 }
 
-// Holder keeps the lease for one daemon.
-type Holder struct {
+// Elector keeps the lease for one daemon.
+type Elector struct {
 	options Options
 
 	mu     sync.Mutex
 	keeper *lease.Tracker
-	// writing is full while a write of the record is under way. It is no mutex, so
+	// writeSlot is full while a write of the record is under way. It is no mutex, so
 	// that who waits for it can give up.
-	writing chan struct{}
-	// renewed is when the last renewal that succeeded was begun, tried when the
+	writeSlot chan struct{}
+	// renewedAt is when the last renewal that succeeded was begun, tried when the
 	// last one was.
-	renewed time.Time
-	tried   time.Time
-	// looked is when the lease was last read to take it, holderAt when another
+	renewedAt    time.Time
+	renewTriedAt time.Time
+	// acquireTriedAt is when the lease was last read to take it, holderSeenAt when another
 	// holder was last heard.
-	looked   time.Time
-	holderAt time.Time
-	// held is whether this daemon held the lease at the last look.
-	held      bool
+	acquireTriedAt time.Time
+	holderSeenAt   time.Time
+	// wasHeld is whether this daemon held the lease at the last look.
+	wasHeld   bool
 	releasing bool
-	// again is set when an earlier process of this VM held the lease, which nobody else
+	// succeedsOwnLease is set when an earlier process of this VM held the lease, which nobody else
 	// will take before it lapses.
-	again bool
+	succeedsOwnLease bool
 }
 
-// NewHolder returns a holder that does not hold the lease.
-func NewHolder(options Options) *Holder {
+// NewElector returns a holder that does not hold the lease.
+func NewElector(options Options) *Elector {
 	if options.Now == nil {
 		options.Now = steady.Now
 	}
 	keeper := lease.NewTracker(options.Self, options.Incarnation, options.Duration)
 	keeper.SetAddress(options.Address)
-	return &Holder{options: options, keeper: keeper, writing: make(chan struct{}, 1)}
+	return &Elector{options: options, keeper: keeper, writeSlot: make(chan struct{}, 1)}
 }
 
-// Right returns the right to act, if this daemon has it now.
-func (h *Holder) Right() (Right, bool) {
+// Token returns the right to act, if this daemon has it now.
+func (h *Elector) Token() (FencingToken, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	fence, ok := h.keeper.Holds(h.options.Now())
-	return Right{Holder: h.options.Self, Fence: fence}, ok && !h.releasing
+	return FencingToken{Holder: h.options.Self, Fence: fence}, ok && !h.releasing
 }
 
 // Run keeps the lease until the context ends.
-func (h *Holder) Run(ctx context.Context) {
+func (h *Elector) Run(ctx context.Context) {
 	// Who comes first is known once daemons have heard each other. Were all to look at
 	// once, a start of 300 daemons would cost as many calls more.
 	now := h.options.Now()
-	h.note(func() { h.holderAt, h.looked = now, now })
-	ticker := time.NewTicker(tick)
+	h.locked(func() { h.holderSeenAt, h.acquireTriedAt = now, now })
+	ticker := time.NewTicker(leaseTick)
 	defer ticker.Stop()
 	for {
 		h.step(ctx, h.options.Now())
@@ -159,63 +159,63 @@
 	}
 }
 
-func (h *Holder) step(ctx context.Context, now time.Time) {
-	_, holds := h.Right()
-	h.noteChange(holds)
+func (h *Elector) step(ctx context.Context, now time.Time) {
+	_, holds := h.Token()
+	h.recordTransition(holds)
 	switch {
-	case h.stopped():
+	case h.isReleasing():
 	case holds:
 		if h.renewalDue(now) {
 			h.renew(ctx, nil)
 		}
 	case h.options.Peers.Holder():
-		h.note(func() { h.holderAt = now })
-	case h.myTurn(now):
-		h.note(func() { h.looked, h.again = now, false })
-		h.challenge(ctx)
+		h.locked(func() { h.holderSeenAt = now })
+	case h.acquireDue(now):
+		h.locked(func() { h.acquireTriedAt, h.succeedsOwnLease = now, false })
+		h.tryAcquire(ctx)
 	}
 }
 
-func (h *Holder) renewalDue(now time.Time) bool {
+func (h *Elector) renewalDue(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return now.Sub(h.renewed) >= renewEvery && now.Sub(h.tried) >= retryEvery
+	return now.Sub(h.renewedAt) >= renewInterval && now.Sub(h.renewTriedAt) >= renewRetryInterval
 }
 
-func (h *Holder) note(change func()) {
+func (h *Elector) locked(change func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	change()
 }
 
-func (h *Holder) stopped() bool {
+func (h *Elector) isReleasing() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.releasing
 }
 
-func (h *Holder) noteChange(holds bool) {
-	if holds == h.held {
+func (h *Elector) recordTransition(holds bool) {
+	if holds == h.wasHeld {
 		return
 	}
-	h.held = holds
-	right, _ := h.Right()
+	h.wasHeld = holds
+	right, _ := h.Token()
 	h.options.Logger.Info("lease changed", "held", holds, "fence", right.Fence)
-	h.options.Soon()
+	h.options.NotifyPeers()
 }
 
-// myTurn lets the daemons look at a lease without a known holder one after the
+// acquireDue lets the daemons look at a lease without a known holder one after the
 // other, so that they seldom contend.
-func (h *Holder) myTurn(now time.Time) bool {
-	patience := time.Duration(h.options.Peers.Rank()) * turn
+func (h *Elector) acquireDue(now time.Time) bool {
+	patience := time.Duration(h.options.Peers.Rank()) * rankDelay
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.again || now.Sub(h.holderAt) >= patience && now.Sub(h.looked) >= challengeEvery+patience
+	return h.succeedsOwnLease || now.Sub(h.holderSeenAt) >= patience && now.Sub(h.acquireTriedAt) >= acquireInterval+patience
 }
 
-// challenge reads the lease and takes it when it is free.
-func (h *Holder) challenge(ctx context.Context) {
-	if !h.read(ctx) {
+// tryAcquire reads the lease and takes it when it is free.
+func (h *Elector) tryAcquire(ctx context.Context) {
+	if !h.refresh(ctx) {
 		return
 	}
 	h.mu.Lock()
@@ -231,25 +231,25 @@
 	h.write(ctx, claim)
 }
 
-// Recall returns what the last holder knew. Where nobody has ever held the lease it is
+// LoadMemory returns what the last holder knew. Where nobody has ever held the lease it is
 // nothing.
-func (h *Holder) Recall(ctx context.Context) (lease.Snapshot, error) {
-	record, err := h.observe(ctx)
-	h.note(func() { h.again = err == nil && h.keeper.ReplacesHolder(record) })
+func (h *Elector) LoadMemory(ctx context.Context) (lease.Snapshot, error) {
+	record, err := h.fetchRecord(ctx)
+	h.locked(func() { h.succeedsOwnLease = err == nil && h.keeper.ReplacesHolder(record) })
 	return record.Snapshot, err
 }
 
-// read takes over the record as it is in the store.
-func (h *Holder) read(ctx context.Context) bool {
-	_, err := h.observe(ctx)
+// refresh takes over the record as it is in the store.
+func (h *Elector) refresh(ctx context.Context) bool {
+	_, err := h.fetchRecord(ctx)
 	if err != nil {
 		h.options.Logger.Warn("lease cannot be read", "error", err)
 	}
 	return err == nil
 }
 
-func (h *Holder) observe(ctx context.Context) (lease.Record, error) {
-	object, err := h.options.Store.Get(ctx, Kind, Name)
+func (h *Elector) fetchRecord(ctx context.Context) (lease.Record, error) {
+	object, err := h.options.Store.Get(ctx, LeaseKind, LeaseName)
 	var record lease.Record
 	switch {
 	case errors.Is(err, store.ErrNotFound):
@@ -263,9 +263,9 @@
 			record = lease.Record{Holder: unreadableHolder}
 		}
 	}
-	h.note(func() { h.keeper.Observe(object.Revision, record, h.options.Now()) })
-	if h.options.Learn != nil {
-		h.options.Learn(record.Snapshot)
+	h.locked(func() { h.keeper.Observe(object.Revision, record, h.options.Now()) })
+	if h.options.OnMemory != nil {
+		h.options.OnMemory(record.Snapshot)
 	}
 	return record, nil
 }
@@ -275,20 +275,20 @@
 
 // beginWrite waits until no other write is under way. It returns false when the
 // context ends before.
-func (h *Holder) beginWrite(ctx context.Context) bool {
+func (h *Elector) beginWrite(ctx context.Context) bool {
 	select {
-	case h.writing <- struct{}{}:
+	case h.writeSlot <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (h *Holder) endWrite() { <-h.writing }
+func (h *Elector) endWrite() { <-h.writeSlot }
 
 // renew writes the lease again, with what edit changes. It returns whether the
 // write was acknowledged.
-func (h *Holder) renew(ctx context.Context, edit func(*lease.Record)) bool {
+func (h *Elector) renew(ctx context.Context, edit func(*lease.Record)) bool {
 	if !h.beginWrite(ctx) {
 		return false
 	}
@@ -296,24 +296,24 @@
 	h.mu.Lock()
 	next := h.keeper.Renewal()
 	h.mu.Unlock()
-	if h.options.Remember != nil {
-		next.Snapshot = h.options.Remember(next.Snapshot)
+	if h.options.BuildMemory != nil {
+		next.Snapshot = h.options.BuildMemory(next.Snapshot)
 	}
 	if edit != nil {
 		edit(&next)
 	}
 	begun := h.options.Now()
-	h.note(func() { h.tried = begun })
+	h.locked(func() { h.renewTriedAt = begun })
 	if !h.write(ctx, next) {
 		return false
 	}
-	h.note(func() { h.renewed = begun })
+	h.locked(func() { h.renewedAt = begun })
 	return true
 }
 
 // write writes a record on the revision last seen. After a lost answer or a
 // conflict the record is read again before anything is believed.
-func (h *Holder) write(ctx context.Context, record lease.Record) bool {
+func (h *Elector) write(ctx context.Context, record lease.Record) bool {
 	h.mu.Lock()
 	revision := h.keeper.Revision()
 	h.keeper.BeginWrite(record, h.options.Now())
@@ -321,16 +321,16 @@
 	var object store.Object
 	var err error
 	if revision == 0 {
-		object, err = h.options.Store.Create(ctx, Kind, Name, record)
+		object, err = h.options.Store.Create(ctx, LeaseKind, LeaseName, record)
 	} else {
-		object, err = h.options.Store.Replace(ctx, Kind, Name, revision, record)
+		object, err = h.options.Store.Replace(ctx, LeaseKind, LeaseName, revision, record)
 	}
 	if err != nil {
 		h.options.Logger.Warn("lease not written", "error", err, "revision", revision)
 		if errors.Is(err, store.ErrRefused) {
 			return false
 		}
-		h.read(ctx)
+		h.refresh(ctx)
 		return false
 	}
 	h.mu.Lock()
@@ -339,9 +339,9 @@
 	return true
 }
 
-// Refused takes over that the cloud has seen a higher fencing number than that
+// FenceRejected takes over that the cloud has seen a higher fencing number than that
 // of the right.
-func (h *Holder) Refused(right Right) {
+func (h *Elector) FenceRejected(right FencingToken) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if fence, _ := h.keeper.Holds(h.options.Now()); fence == right.Fence {
@@ -351,8 +351,8 @@
 
 // Release gives the lease back, so that another daemon need not wait for its
 // end. The right to act ends before.
-func (h *Holder) Release(ctx context.Context) {
-	_, holds := h.Right()
+func (h *Elector) Release(ctx context.Context) {
+	_, holds := h.Token()
 	h.mu.Lock()
 	h.releasing = true
 	h.mu.Unlock()
@@ -371,17 +371,17 @@
 	}
 }
 
-// Decide puts a usage report into the record, unless one stands there already,
+// RecordReport puts a usage report into the record, unless one stands there already,
 // and returns the one that stands. It returns false when the store has not
 // acknowledged it.
-func (h *Holder) Decide(ctx context.Context, window int64, counts usage.Counts) (usage.Counts, bool) {
-	if standing, ok := h.report(window); ok {
+func (h *Elector) RecordReport(ctx context.Context, window int64, counts usage.Counts) (usage.Counts, bool) {
+	if standing, ok := h.recordedReport(window); ok {
 		return standing, true
 	}
 	ok := h.renew(ctx, func(r *lease.Record) {
 		reports := map[int64]usage.Counts{window: counts}
 		for id, c := range r.UsageReports {
-			if id > window-keptReports {
+			if id > window-reportRetentionWindows {
 				reports[id] = c
 			}
 		}
@@ -390,11 +390,11 @@
 	return counts, ok
 }
 
-// keptReports is the number of windows whose reports stay in the record: those
+// reportRetentionWindows is the number of windows whose reports stay in the record: those
 // that a successor might send again.
-const keptReports = 4
+const reportRetentionWindows = 4
 
-func (h *Holder) report(window int64) (usage.Counts, bool) {
+func (h *Elector) recordedReport(window int64) (usage.Counts, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	counts, ok := h.keeper.UsageReports()[window]
--- a/internal/duty/exchange.go
+++ b/internal/duty/exchange.go
@@ -14,18 +14,18 @@
 // each other exchange what they have counted.
 const usageKind = "plankridge-usage"
 
-// counted is a daemon's object.
-type counted struct {
+// publishedCounts is a daemon's object.
+type publishedCounts struct {
 	Incarnation uint64 `json:"incarnation"`
 	Zone        string `json:"zone"`
-	// Sums is set when the counts are those of the whole zone.
-	Sums    bool                   `json:"sums"`
-	Windows map[int64]usage.Counts `json:"windows"`
+	// WholeZone is set when the counts are those of the whole zone.
+	WholeZone bool                   `json:"sums"`
+	Windows   map[int64]usage.Counts `json:"windows"`
 }
 
 const (
-	// publishAfter is how long after a window's end its counts are written.
-	publishAfter = 500 * time.Millisecond
+	// publishDelay is how long after a window's end its counts are written.
+	publishDelay = 500 * time.Millisecond
 	// publishWindows is the number of windows written: the one that has ended
 	// and one before it, whose write may have failed.
 	publishWindows = 3
@@ -51,7 +51,7 @@
 	for {
 		select {
 		case now := <-ticker.C:
-			ended := e.Ledger.WindowAt(now.Add(-publishAfter)) - 1
+			ended := e.Ledger.WindowAt(now.Add(-publishDelay)) - 1
 			if ended > handled && e.exchange(ctx, ended) {
 				handled = ended
 			}
@@ -79,7 +79,7 @@
 
 func (e *Exchange) publish(ctx context.Context) error {
 	zone, sums, _ := e.Peers.Zone()
-	own := counted{Incarnation: e.Incarnation, Zone: zone, Sums: sums, Windows: e.Ledger.Own(publishWindows)}
+	own := publishedCounts{Incarnation: e.Incarnation, Zone: zone, WholeZone: sums, Windows: e.Ledger.Own(publishWindows)}
 	if sums {
 		own.Windows = e.Ledger.Zone(publishWindows)
 	}
@@ -96,16 +96,16 @@
 	}
 	zone, _, _ := e.Peers.Zone()
 	for _, object := range page.Objects {
-		var c counted
+		var c publishedCounts
 		if err := json.Unmarshal(object.Spec, &c); err != nil {
 			e.Logger.Error("published counts cannot be decoded", "daemon", object.Name, "error", err)
 			continue
 		}
 		switch {
 		case object.Name == e.Self:
-		case c.Sums && c.Zone != zone:
+		case c.WholeZone && c.Zone != zone:
 			e.Ledger.HeardZone(c.Zone, c.Windows)
-		case !c.Sums && c.Zone == zone:
+		case !c.WholeZone && c.Zone == zone:
 			e.Ledger.Heard(object.Name, c.Incarnation, c.Windows)
 		}
 	}
--- a/internal/duty/reporter.go
+++ b/internal/duty/reporter.go
@@ -12,28 +12,28 @@
 const (
 	// reportTick is how often the reporter looks for windows that are due.
 	reportTick = 200 * time.Millisecond
-	// settleTime is how long after its end a window is reported: three reports
+	// reportDelay is how long after its end a window is reported: three reports
 	// of every peer.
-	settleTime = 1300 * time.Millisecond
-	// patience is the part of the time until a report is due for which silent
+	reportDelay = 1300 * time.Millisecond
+	// silentPeerWaitFraction is the part of the time until a report is due for which silent
 	// peers are waited for.
-	patience = 0.6
+	silentPeerWaitFraction = 0.6
 )
 
 // Reporter sends the usage of each window once, equal on repeat.
 type Reporter struct {
-	Holder *Holder
-	Cloud  Cloud
-	Ledger *usage.Ledger
-	Peers  Peers
+	Elector *Elector
+	Cloud   Cloud
+	Ledger  *usage.Ledger
+	Peers   Peers
 	// Exchange brings the counts of daemons that are not heard.
 	Exchange *Exchange
 	Logger   *slog.Logger
-	// Due is how long after a window's end its report must be there.
-	Due time.Duration
+	// Deadline is how long after a window's end its report must be there.
+	Deadline time.Duration
 
-	// next is the first window that this process has not yet reported.
-	next int64
+	// nextWindow is the first window that this process has not yet reported.
+	nextWindow int64
 }
 
 // Run reports until the context ends.
@@ -51,18 +51,18 @@
 }
 
 func (r *Reporter) step(ctx context.Context, now time.Time) {
-	if _, holds := r.Holder.Right(); !holds {
-		r.next = 0
+	if _, holds := r.Elector.Token(); !holds {
+		r.nextWindow = 0
 		return
 	}
-	if oldest := r.Ledger.WindowAt(now.Add(-r.Due)); r.next < oldest {
-		r.next = oldest
+	if oldest := r.Ledger.WindowAt(now.Add(-r.Deadline)); r.nextWindow < oldest {
+		r.nextWindow = oldest
 	}
-	for r.ready(r.next, now) {
-		if !r.send(ctx, r.next) {
+	for r.ready(r.nextWindow, now) {
+		if !r.send(ctx, r.nextWindow) {
 			return
 		}
-		r.next++
+		r.nextWindow++
 	}
 }
 
@@ -70,35 +70,35 @@
 // they will be in time.
 func (r *Reporter) ready(window int64, now time.Time) bool {
 	age := now.Sub(r.Ledger.End(window))
-	if age < settleTime {
+	if age < reportDelay {
 		return false
 	}
-	late := time.Duration(patience * float64(r.Due))
+	late := time.Duration(silentPeerWaitFraction * float64(r.Deadline))
 	return age > late || r.Peers.AllHeard()
 }
 
 func (r *Reporter) send(ctx context.Context, window int64) bool {
-	if _, standing := r.Holder.report(window); !standing && !r.Peers.AllHeard() {
+	if _, standing := r.Elector.recordedReport(window); !standing && !r.Peers.AllHeard() {
 		r.Exchange.Collect(ctx)
 	}
-	counts, decided := r.Holder.Decide(ctx, window, r.Ledger.Sum(window))
+	counts, decided := r.Elector.RecordReport(ctx, window, r.Ledger.Sum(window))
 	if !decided {
 		return false
 	}
-	right, holds := r.Holder.Right()
+	right, holds := r.Elector.Token()
 	if !holds {
 		return false
 	}
 	err := r.Cloud.ReportUsage(ctx, right, window, counts)
-	r.Logger.Info("usage reported", "window", window, "counts", counts, "fence", right.Fence, "error", text(err))
+	r.Logger.Info("usage reported", "window", window, "counts", counts, "fence", right.Fence, "error", errorText(err))
 	if errors.Is(err, ErrDeclined) {
-		r.Holder.Refused(right)
+		r.Elector.FenceRejected(right)
 	}
 	return err == nil
 }
 
-// text returns an error's message, or nothing.
-func text(err error) string {
+// errorText returns an error's message, or nothing.
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/internal/duty/scaler.go
+++ b/internal/duty/scaler.go
@@ -18,17 +18,17 @@
 
 // Scaler orders the backend servers that the plan asks for.
 type Scaler struct {
-	Holder  *Holder
+	Elector *Elector
 	Cloud   Cloud
 	View    *backend.View
 	Catalog func() *catalog.Catalog
 	// Demand returns the number of servers that the present demand of a service
 	// keeps busy.
 	Demand func(service string) demand.Load
-	// Rolling reports whether servers of two versions of a service are there: which of them
+	// VersionUnsettled reports whether servers of two versions of a service are there: which of them
 	// an order would count is not known, so none is given until the roll-out has ended.
-	Rolling func(service string) bool
-	Logger  *slog.Logger
+	VersionUnsettled func(service string) bool
+	Logger           *slog.Logger
 
 	planners map[string]*capacity.Planner
 	fence    int64
@@ -49,7 +49,7 @@
 }
 
 func (s *Scaler) step(ctx context.Context, now time.Time) {
-	right, holds := s.Holder.Right()
+	right, holds := s.Elector.Token()
 	c := s.Catalog()
 	if !holds || c == nil || !s.View.ListReceived() {
 		return
@@ -59,7 +59,7 @@
 		s.fence, s.planners = right.Fence, map[string]*capacity.Planner{}
 	}
 	for name, service := range c.Services {
-		if service.Scaling != nil && !s.Rolling(name) {
+		if service.Scaling != nil && !s.VersionUnsettled(name) {
 			s.scale(ctx, name, *service.Scaling, now)
 		}
 	}
@@ -114,14 +114,14 @@
 
 // order gives an order, while the right to do so lasts.
 func (s *Scaler) order(ctx context.Context, service string, planner *capacity.Planner, order capacity.Order, load demand.Load) {
-	right, holds := s.Holder.Right()
+	right, holds := s.Elector.Token()
 	if !holds {
 		return
 	}
 	err := s.Cloud.Scale(ctx, right, Order{Service: service, Zone: order.Zone, Reclaimable: order.Reclaimable, Count: order.Count})
 	planner.Answered(order, replyOf(err), time.Now())
 	s.Logger.Info("servers ordered", "service", service, "zone", order.Zone, "reclaimable", order.Reclaimable,
-		"count", order.Count, "present", order.Present, "reading", load.Reading, "places", load.Places, "memory", load.Memory, "fence", right.Fence, "error", text(err))
+		"count", order.Count, "present", order.Present, "reading", load.Reading, "places", load.Places, "memory", load.Memory, "fence", right.Fence, "error", errorText(err))
 }
 
 func replyOf(err error) capacity.Reply {
--- a/internal/duty/suspended_test.go
+++ b/internal/duty/suspended_test.go
@@ -12,14 +12,14 @@
 	"github.com/plankridge/plankridge/internal/store"
 )
 
-// oneObject is a store with the lease alone.
-type oneObject struct {
+// leaseStore is a store with the lease alone.
+type leaseStore struct {
 	store.Store
 	object store.Object
 }
 
 // Get implements store.Store.
-func (o *oneObject) Get(context.Context, string, string) (store.Object, error) {
+func (o *leaseStore) Get(context.Context, string, string) (store.Object, error) {
 	if o.object.Revision == 0 {
 		return store.Object{}, store.ErrNotFound
 	}
@@ -27,16 +27,16 @@
 }
 
 // Create implements store.Store.
-func (o *oneObject) Create(_ context.Context, _, _ string, spec any) (store.Object, error) {
+func (o *leaseStore) Create(_ context.Context, _, _ string, spec any) (store.Object, error) {
 	return o.write(spec)
 }
 
 // Replace implements store.Store.
-func (o *oneObject) Replace(_ context.Context, _, _ string, _ int64, spec any) (store.Object, error) {
+func (o *leaseStore) Replace(_ context.Context, _, _ string, _ int64, spec any) (store.Object, error) {
 	return o.write(spec)
 }
 
-func (o *oneObject) write(spec any) (store.Object, error) {
+func (o *leaseStore) write(spec any) (store.Object, error) {
 	raw, err := json.Marshal(spec)
 	o.object.Spec, o.object.Revision = raw, o.object.Revision+1
 	return o.object, err
@@ -47,14 +47,14 @@
 func TestRightEndsWhileTheVMIsSuspended(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := NewHolder(Options{
-		Self: "vm-1", Incarnation: 1, Duration: 3 * time.Second, Store: &oneObject{}, Logger: slog.New(slog.DiscardHandler),
+	h := NewElector(Options{
+		Self: "vm-1", Incarnation: 1, Duration: 3 * time.Second, Store: &leaseStore{}, Logger: slog.New(slog.DiscardHandler),
 		Now: func() time.Time { return now },
 	})
-	h.challenge(context.Background())
-	_, holds := h.Right()
+	h.tryAcquire(context.Background())
+	_, holds := h.Token()
 	c.Assert(holds, qt.IsTrue)
 	now = now.Add(5 * time.Second)
-	_, holds = h.Right()
+	_, holds = h.Token()
 	c.Check(holds, qt.IsFalse)
 }
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -88,8 +88,8 @@
 }
 
 // content returns the identity by which the quarantine recognizes identical requests.
-func (c *Call) content() quarantine.Content {
-	return quarantine.ContentOf(c.Workspace, c.Method, c.Host, c.Target, c.Body)
+func (c *Call) content() quarantine.Digest {
+	return quarantine.DigestOf(c.Workspace, c.Method, c.Host, c.Target, c.Body)
 }
 
 // Attempt is one attempt to run a call on one server.
@@ -204,13 +204,13 @@
 // Quarantine blocks requests that crash the servers that run them.
 type Quarantine interface {
 	// Barred reports whether a request is blocked.
-	Barred(content quarantine.Content, now time.Time) bool
+	Barred(content quarantine.Digest, now time.Time) bool
 	// Doubted reports whether a request whose attempt broke should not be retried on another server.
-	Doubted(content quarantine.Content) bool
+	Doubted(content quarantine.Digest) bool
 	// Answered records that a server has run a request to completion.
-	Answered(content quarantine.Content, now time.Time)
+	Answered(content quarantine.Digest, now time.Time)
 	// Broke records that an attempt broke at a server. certain is set if the server is known to have ended.
-	Broke(server watch.Server, lost quarantine.Lost, certain bool, at time.Time)
+	Broke(server watch.Server, lost quarantine.LostRequest, certain bool, at time.Time)
 }
 
 // Demand measures the requested load of each service.
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -120,7 +120,7 @@
 	// callerAge is the time from the caller's first try to this request.
 	callerAge time.Duration
 	// content is the identity by which the quarantine recognizes identical requests.
-	content          quarantine.Content
+	content          quarantine.Digest
 	firstAnswerAfter time.Duration
 	status           int
 	history          []attemptRecord
@@ -232,9 +232,9 @@
 		return
 	}
 	r.options.Quarantine.Broke(watch.Server{
-		Key: quarantine.Server(backend.KeyOf(server)), ID: server.ID, Service: server.Service, BornMs: server.StartTimeMs,
-		Ended: func(ctx context.Context) bool { return r.options.Backend.Ended(ctx, server) },
-	}, quarantine.Lost{Content: r.content, Sent: sent}, result.serverRestarted, at)
+		Key: quarantine.ServerInstance(backend.KeyOf(server)), ID: server.ID, Service: server.Service, StartedMs: server.StartTimeMs,
+		Exited: func(ctx context.Context) bool { return r.options.Backend.Ended(ctx, server) },
+	}, quarantine.LostRequest{Digest: r.content, SentAt: sent}, result.serverRestarted, at)
 }
 
 func (r *run) workspace() *catalog.Workspace {
--- a/internal/forward/version.go
+++ b/internal/forward/version.go
@@ -36,16 +36,16 @@
 		return
 	}
 	answer := rollout.Answer{
-		Service: r.call.Service, Route: r.call.Route.Name, Failed: ended.signal == signalBad, Took: took,
+		Service: r.call.Service, Route: r.call.Route.Name, Failed: ended.signal == signalBad, Latency: took,
 	}
 	if choice.Candidate {
 		answer.Server = max(1, backend.KeyOf(choice.Entry))
 	}
 	if first, each := choice.Timing(); first > 0 {
-		answer.Took, answer.EachEvent = first, each
+		answer.Latency, answer.EventInterval = first, each
 	}
 	if choice.Calibrated {
-		answer.Expected = choice.Wait
+		answer.ExpectedLatency = choice.Wait
 	}
 	r.options.RollOuts.Answered(answer)
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -57,9 +57,9 @@
 	// daemons.
 	RequestWindows map[int64]usage.Counts `json:"windows,omitempty"`
 	// RollOuts holds the versions of the services and the roll-out orders in progress.
-	RollOuts *rollout.Memory `json:"rollouts,omitempty"`
+	RollOuts *rollout.Snapshot `json:"rollouts,omitempty"`
 	// HeldRequests holds the requests during which servers have ended.
-	HeldRequests []quarantine.Word `json:"held,omitempty"`
+	HeldRequests []quarantine.Report `json:"held,omitempty"`
 	// HeldAtMs is the wall-clock time as of which Held is valid, in milliseconds since
 	// 1970.
 	HeldAtMs int64 `json:"held_ms,omitempty"`
--- a/internal/peer/held.go
+++ b/internal/peer/held.go
@@ -44,7 +44,7 @@
 	if m.quarantine == nil {
 		return nil
 	}
-	records := m.quarantine.Tell(time.Now())
+	records := m.quarantine.Reports(time.Now())
 	if len(records) == 0 {
 		return nil
 	}
@@ -60,10 +60,10 @@
 	if m.quarantine == nil || len(raw) == 0 {
 		return
 	}
-	var records []quarantine.Word
+	var records []quarantine.Report
 	if err := json.Unmarshal(raw, &records); err != nil {
 		m.logger.Warn("cannot decode held requests from peer", "peer", peer, "error", err)
 		return
 	}
-	m.quarantine.Hear(records, 0, time.Now())
+	m.quarantine.Merge(records, 0, time.Now())
 }
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -55,7 +55,7 @@
 	// Copies holds the copies of requests that this daemon keeps for others.
 	Copies *backup.Store
 	// Quarantine holds the known requests during which servers have ended. It may be nil.
-	Quarantine *watch.Watch
+	Quarantine *watch.Watcher
 	// Advice holds the load advice of backend servers. It may be nil.
 	Advice Advice
 	Logger *slog.Logger
@@ -71,7 +71,7 @@
 	logger      *slog.Logger
 	incarnation uint64
 	pullTargets chan string
-	quarantine  *watch.Watch
+	quarantine  *watch.Watcher
 	advice      Advice
 	// trigger requests heartbeats at once.
 	trigger chan struct{}
--- a/internal/quarantine/content.go
+++ b/internal/quarantine/content.go
@@ -11,27 +11,27 @@
 	"io"
 )
 
-// Content is a digest of what a request asks and for whom. Requests of the same content do
+// Digest is a digest of what a request asks and for whom. Requests of the same content do
 // the same to a server.
-type Content uint64
+type Digest uint64
 
 // String returns the digest as logs show it.
-func (c Content) String() string { return fmt.Sprintf("%016x", uint64(c)) }
+func (c Digest) String() string { return fmt.Sprintf("%016x", uint64(c)) }
 
-// ContentOf returns the digest of a request. It is cut from a cryptographic one: nobody can
+// DigestOf returns the digest of a request. It is cut from a cryptographic one: nobody can
 // write a request that is taken for another one's. workspace is the caller's, whichever of
 // its keys was used; target is the path with the query.
-func ContentOf(workspace, method, host, target string, body []byte) Content {
+func DigestOf(workspace, method, host, target string, body []byte) Digest {
 	digest := sha256.New()
 	for _, part := range []string{workspace, method, host, target} {
-		writePart(digest, part)
+		writeLengthPrefixed(digest, part)
 	}
 	_, _ = digest.Write(body)
-	return Content(binary.BigEndian.Uint64(digest.Sum(nil)))
+	return Digest(binary.BigEndian.Uint64(digest.Sum(nil)))
 }
 
-// writePart writes a part with its length, so that no two lists of parts read alike.
-func writePart(digest hash.Hash, part string) {
+// writeLengthPrefixed writes a part with its length, so that no two lists of parts read alike.
+func writeLengthPrefixed(digest hash.Hash, part string) {
 	_ = binary.Write(digest, binary.BigEndian, uint64(len(part)))
 	_, _ = io.WriteString(digest, part)
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -9,27 +9,27 @@
 
 var start = time.Unix(1000, 0)
 
-const settle = 400 * time.Millisecond
+const settleDelay = 400 * time.Millisecond
 
 // at returns a time of a test.
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// end lets a server end under some requests, each sent a tenth of a second before.
-func end(q *Quarantine, server Server, seconds float64, contents ...Content) {
-	var lost []Lost
+// exitServer lets a server end under some requests, each sent a tenth of a second before.
+func exitServer(q *Quarantine, server ServerInstance, seconds float64, contents ...Digest) {
+	var lost []LostRequest
 	for _, content := range contents {
-		lost = append(lost, Lost{Content: content, Sent: at(seconds - 0.1)})
+		lost = append(lost, LostRequest{Digest: content, SentAt: at(seconds - 0.1)})
 	}
-	q.Ended(server, lost, at(seconds), at(seconds))
+	q.RecordExit(server, lost, at(seconds), at(seconds))
 }
 
-// judged returns what is held back after all that is known has settled.
-func judged(q *Quarantine, seconds float64) []Content {
-	q.Judge(at(seconds), settle)
-	held, _ := q.Judge(at(seconds).Add(settle), settle)
-	var contents []Content
+// blockedAfterSettling returns what is held back after all that is known has settled.
+func blockedAfterSettling(q *Quarantine, seconds float64) []Digest {
+	q.Evaluate(at(seconds), settleDelay)
+	held, _ := q.Evaluate(at(seconds).Add(settleDelay), settleDelay)
+	var contents []Digest
 	for _, v := range held {
-		contents = append(contents, v.Content)
+		contents = append(contents, v.Digest)
 	}
 	return contents
 }
@@ -39,19 +39,19 @@
 func TestThreeServersInARow(t *testing.T) {
 	c := qt.New(t)
 	q := New()
-	end(q, 1, 1, 7)
-	end(q, 2, 2, 7)
-	c.Check(judged(q, 2), qt.HasLen, 0)
-	end(q, 3, 3, 7)
-	held, again := q.Judge(at(3), settle)
+	exitServer(q, 1, 1, 7)
+	exitServer(q, 2, 2, 7)
+	c.Check(blockedAfterSettling(q, 2), qt.HasLen, 0)
+	exitServer(q, 3, 3, 7)
+	held, again := q.Evaluate(at(3), settleDelay)
 	c.Check(held, qt.HasLen, 0)
-	c.Check(again, qt.Equals, settle)
-	c.Check(q.Barred(7, at(3)), qt.IsFalse)
-	c.Check(q.Doubted(7), qt.IsTrue)
-	c.Check(judged(q, 3.1), qt.DeepEquals, []Content{7})
-	c.Check(q.Barred(7, at(4)), qt.IsTrue)
-	c.Check(q.Barred(8, at(4)), qt.IsFalse)
-	c.Check(q.Barred(7, at(5).Add(barFor)), qt.IsFalse)
+	c.Check(again, qt.Equals, settleDelay)
+	c.Check(q.Blocked(7, at(3)), qt.IsFalse)
+	c.Check(q.Suspected(7), qt.IsTrue)
+	c.Check(blockedAfterSettling(q, 3.1), qt.DeepEquals, []Digest{7})
+	c.Check(q.Blocked(7, at(4)), qt.IsTrue)
+	c.Check(q.Blocked(8, at(4)), qt.IsFalse)
+	c.Check(q.Blocked(7, at(5).Add(blockDuration)), qt.IsFalse)
 }
 
 // TestCopiesAtOnceCountOnce: many callers ask the same when a rack is lost, and again when
@@ -59,13 +59,13 @@
 func TestCopiesAtOnceCountOnce(t *testing.T) {
 	c := qt.New(t)
 	q := New()
-	for server := range Server(10) {
-		end(q, server, 1+float64(server)/200, 7)
+	for server := range ServerInstance(10) {
+		exitServer(q, server, 1+float64(server)/200, 7)
 	}
-	for server := range Server(10) {
-		end(q, 20+server, 5+float64(server)/200, 7)
+	for server := range ServerInstance(10) {
+		exitServer(q, 20+server, 5+float64(server)/200, 7)
 	}
-	c.Check(judged(q, 6), qt.HasLen, 0)
+	c.Check(blockedAfterSettling(q, 6), qt.HasLen, 0)
 }
 
 // TestAnsweredRequestIsNeverTheCause: at whichever daemon, before or after servers ended.
@@ -74,37 +74,37 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			q, other := New(), New()
-			other.Answered(7, at(answered))
+			other.RecordAnswer(7, at(answered))
 			for i := range 3 {
-				end(q, Server(i), float64(i+1), 7)
+				exitServer(q, ServerInstance(i), float64(i+1), 7)
 			}
-			q.Judge(at(3), settle)
+			q.Evaluate(at(3), settleDelay)
 			// What the other daemon hears makes it tell what it knows.
-			other.Hear(q.Tell(at(3.3)), 0, at(3.3))
-			q.Hear(other.Tell(at(3.3)), 0, at(3.3))
-			c.Check(judged(q, 3.5), qt.HasLen, 0)
-			c.Check(judged(other, 3.5), qt.HasLen, 0)
+			other.Merge(q.Reports(at(3.3)), 0, at(3.3))
+			q.Merge(other.Reports(at(3.3)), 0, at(3.3))
+			c.Check(blockedAfterSettling(q, 3.5), qt.HasLen, 0)
+			c.Check(blockedAfterSettling(other, 3.5), qt.HasLen, 0)
 		})
 	}
 }
 
-// TestAnswerFreesWhatWasHeldBack: everywhere, and for good.
-func TestAnswerFreesWhatWasHeldBack(t *testing.T) {
+// TestAnswerUnblocksRequest: everywhere, and for good.
+func TestAnswerUnblocksRequest(t *testing.T) {
 	c := qt.New(t)
 	q, other := New(), New()
 	for i := range 3 {
-		end(q, Server(i), float64(i+1), 7)
+		exitServer(q, ServerInstance(i), float64(i+1), 7)
 	}
-	c.Check(judged(q, 3), qt.HasLen, 1)
-	other.Hear(q.Tell(at(4)), 0, at(4))
-	c.Check(other.Barred(7, at(4)), qt.IsTrue)
+	c.Check(blockedAfterSettling(q, 3), qt.HasLen, 1)
+	other.Merge(q.Reports(at(4)), 0, at(4))
+	c.Check(other.Blocked(7, at(4)), qt.IsTrue)
 	// One that was under way ends well.
-	c.Check(other.Answered(7, at(5)), qt.IsTrue)
-	q.Hear(other.Tell(at(5)), 0, at(5))
-	other.Hear(q.Tell(at(5)), 0, at(5))
+	c.Check(other.RecordAnswer(7, at(5)), qt.IsTrue)
+	q.Merge(other.Reports(at(5)), 0, at(5))
+	other.Merge(q.Reports(at(5)), 0, at(5))
 	for _, each := range []*Quarantine{q, other} {
-		c.Check(each.Barred(7, at(5.1)), qt.IsFalse)
-		c.Check(each.Barred(7, at(6).Add(trustFor)), qt.IsFalse)
+		c.Check(each.Blocked(7, at(5.1)), qt.IsFalse)
+		c.Check(each.Blocked(7, at(6).Add(answerTrustDuration)), qt.IsFalse)
 	}
 }
 
@@ -113,34 +113,34 @@
 func TestWhoWasThereIsNotHeldBack(t *testing.T) {
 	c := qt.New(t)
 	q := New()
-	end(q, 1, 1.0, 7, 20, 21, 22)
-	end(q, 2, 1.2, 7, 20, 23)
-	end(q, 3, 1.4, 7, 20, 21)
+	exitServer(q, 1, 1.0, 7, 20, 21, 22)
+	exitServer(q, 2, 1.2, 7, 20, 23)
+	exitServer(q, 3, 1.4, 7, 20, 21)
 	// The cause and one that met the same three cannot be told apart yet.
-	c.Check(judged(q, 1.5), qt.HasLen, 0)
-	c.Check(q.Doubted(7) && q.Doubted(20), qt.IsTrue)
-	c.Check(q.Doubted(21), qt.IsFalse)
-	end(q, 4, 2.0, 7, 21, 30)
-	end(q, 5, 2.3, 7, 21, 20)
-	c.Check(judged(q, 2.4), qt.DeepEquals, []Content{7})
-	for _, innocent := range []Content{20, 21, 22, 23, 30} {
-		c.Check(q.Barred(innocent, at(3)) || q.Doubted(innocent), qt.IsFalse)
-	}
-	c.Check(judged(q, 4), qt.HasLen, 0)
+	c.Check(blockedAfterSettling(q, 1.5), qt.HasLen, 0)
+	c.Check(q.Suspected(7) && q.Suspected(20), qt.IsTrue)
+	c.Check(q.Suspected(21), qt.IsFalse)
+	exitServer(q, 4, 2.0, 7, 21, 30)
+	exitServer(q, 5, 2.3, 7, 21, 20)
+	c.Check(blockedAfterSettling(q, 2.4), qt.DeepEquals, []Digest{7})
+	for _, innocent := range []Digest{20, 21, 22, 23, 30} {
+		c.Check(q.Blocked(innocent, at(3)) || q.Suspected(innocent), qt.IsFalse)
+	}
+	c.Check(blockedAfterSettling(q, 4), qt.HasLen, 0)
 }
 
-// TestServersThatEndAnyway: where as many servers end without the request, one more is needed.
-func TestServersThatEndAnyway(t *testing.T) {
+// TestUnrelatedExitsRaiseThreshold: where as many servers end without the request, one more is needed.
+func TestUnrelatedExitsRaiseThreshold(t *testing.T) {
 	c := qt.New(t)
 	q := New()
 	for i := range 3 {
-		end(q, Server(i), float64(i+1), 7)
-		end(q, Server(10+i), float64(i+1)-0.3, Content(50+i))
-		end(q, Server(20+i), float64(i+1)-0.5, Content(60+i))
+		exitServer(q, ServerInstance(i), float64(i+1), 7)
+		exitServer(q, ServerInstance(10+i), float64(i+1)-0.3, Digest(50+i))
+		exitServer(q, ServerInstance(20+i), float64(i+1)-0.5, Digest(60+i))
 	}
-	c.Check(judged(q, 3), qt.HasLen, 0)
-	end(q, 4, 4, 7)
-	c.Check(judged(q, 4), qt.DeepEquals, []Content{7})
+	c.Check(blockedAfterSettling(q, 3), qt.HasLen, 0)
+	exitServer(q, 4, 4, 7)
+	c.Check(blockedAfterSettling(q, 4), qt.DeepEquals, []Digest{7})
 }
 
 // TestWordsAddUp: three daemons that saw one server each agree, in whichever order they hear
@@ -149,33 +149,33 @@
 	c := qt.New(t)
 	daemons := []*Quarantine{New(), New(), New()}
 	for i, q := range daemons {
-		end(q, Server(i), float64(i+1), 7, Content(100+i))
+		exitServer(q, ServerInstance(i), float64(i+1), 7, Digest(100+i))
 	}
 	for round := range 3 {
 		now := at(3 + float64(round)/5)
 		for i := range daemons {
 			from, to := daemons[(i+round)%3], daemons[(i+1)%3]
-			to.Hear(from.Tell(now), 0, now)
-			to.Hear(from.Tell(now), 0, now)
+			to.Merge(from.Reports(now), 0, now)
+			to.Merge(from.Reports(now), 0, now)
 		}
 	}
 	for _, q := range daemons {
-		c.Check(judged(q, 4), qt.DeepEquals, []Content{7})
+		c.Check(blockedAfterSettling(q, 4), qt.DeepEquals, []Digest{7})
 	}
 }
 
-// TestWordsOfOtherWriters: whatever stands in the store in place of a daemon's words, nothing is
+// TestInvalidReportsAreBounded: whatever stands in the store in place of a daemon's words, nothing is
 // yet to come, and few words are taken at once.
-func TestWordsOfOtherWriters(t *testing.T) {
+func TestInvalidReportsAreBounded(t *testing.T) {
 	c := qt.New(t)
 	q := New()
-	var words []Word
+	var words []Report
 	for i := range 1000 {
-		words = append(words, Word{Content: Content(i), Endings: []Ending{{Server: Server(i), Age: -time.Hour, After: -time.Hour}}, Answered: true, AnsweredAge: -time.Hour})
+		words = append(words, Report{Digest: Digest(i), Exits: []ServerExit{{Server: ServerInstance(i), Age: -time.Hour, SentBefore: -time.Hour}}, Answered: true, AnsweredAge: -time.Hour})
 	}
-	q.Hear(words, 0, at(1))
-	c.Check(len(q.records) <= mostTold, qt.IsTrue)
-	for _, ended := range q.ended {
+	q.Merge(words, 0, at(1))
+	c.Check(len(q.records) <= maxReports, qt.IsTrue)
+	for _, ended := range q.exitedAt {
 		c.Check(ended, qt.Equals, at(1))
 	}
 	for _, r := range q.records {
@@ -189,17 +189,17 @@
 	c := qt.New(t)
 	q := New()
 	for i := range 3 {
-		end(q, Server(i), float64(i+1), 7)
+		exitServer(q, ServerInstance(i), float64(i+1), 7)
 	}
-	c.Check(judged(q, 3), qt.HasLen, 1)
-	end(q, 10, 5, 8, 30)
-	end(q, 11, 6, 8, 31)
-	kept := q.Remember(at(7))
+	c.Check(blockedAfterSettling(q, 3), qt.HasLen, 1)
+	exitServer(q, 10, 5, 8, 30)
+	exitServer(q, 11, 6, 8, 31)
+	kept := q.Snapshot(at(7))
 	started := New()
-	started.Hear(kept, 2*time.Second, at(9))
-	c.Check(started.Barred(7, at(9)), qt.IsTrue)
-	end(started, 12, 10, 8)
-	c.Check(judged(started, 10), qt.DeepEquals, []Content{8})
+	started.Merge(kept, 2*time.Second, at(9))
+	c.Check(started.Blocked(7, at(9)), qt.IsTrue)
+	exitServer(started, 12, 10, 8)
+	c.Check(blockedAfterSettling(started, 10), qt.DeepEquals, []Digest{8})
 	c.Check(started.records[30], qt.IsNil)
 }
 
@@ -208,24 +208,24 @@
 func TestLostRacksAreBounded(t *testing.T) {
 	c := qt.New(t)
 	q := New()
-	for server := range Server(2000) {
-		var lost []Content
+	for server := range ServerInstance(2000) {
+		var lost []Digest
 		for i := range 20 {
-			lost = append(lost, Content(1000+int(server)*20+i))
+			lost = append(lost, Digest(1000+int(server)*20+i))
 		}
-		end(q, 1000+server, 1+float64(server)/1000, lost...)
+		exitServer(q, 1000+server, 1+float64(server)/1000, lost...)
 	}
 	for i := range 5 {
-		end(q, Server(i), 4+float64(i)/2, 7)
+		exitServer(q, ServerInstance(i), 4+float64(i)/2, 7)
 	}
-	c.Check(len(q.records) <= mostRecords, qt.IsTrue)
-	c.Check(len(q.ended) <= mostEnded, qt.IsTrue)
-	words := q.Tell(at(7))
+	c.Check(len(q.records) <= maxRecords, qt.IsTrue)
+	c.Check(len(q.exitedAt) <= maxExitedServers, qt.IsTrue)
+	words := q.Reports(at(7))
 	servers := 0
 	for _, w := range words {
-		servers += len(w.Endings)
+		servers += len(w.Exits)
 	}
-	c.Check(len(words) <= mostTold && servers <= mostServersTold, qt.IsTrue)
-	c.Check(words[0].Content, qt.Equals, Content(7))
-	c.Check(judged(q, 7), qt.DeepEquals, []Content{7})
+	c.Check(len(words) <= maxReports && servers <= maxReportedExits, qt.IsTrue)
+	c.Check(words[0].Digest, qt.Equals, Digest(7))
+	c.Check(blockedAfterSettling(q, 7), qt.DeepEquals, []Digest{7})
 }
--- a/internal/quarantine/watch/endings.go
+++ b/internal/quarantine/watch/endings.go
@@ -11,78 +11,78 @@
 )
 
 const (
-	// askAfter is how long after an attempt broke its server is asked whether it has ended: a
+	// probeDelay is how long after an attempt broke its server is asked whether it has ended: a
 	// process that dies closes its connections one after the other, its listener among them.
-	askAfter = 30 * time.Millisecond
-	// askFor bounds the question: a connection opens within some milliseconds, or 200 ms more
+	probeDelay = 30 * time.Millisecond
+	// probeTimeout bounds the question: a connection opens within some milliseconds, or 200 ms more
 	// where a packet is lost. A server behind a cut does not answer, which says nothing.
-	askFor = 400 * time.Millisecond
-	// contentsLogged bounds the requests that a log line names.
-	contentsLogged = 8
+	probeTimeout = 400 * time.Millisecond
+	// maxLoggedRequests bounds the requests that a log line names.
+	maxLoggedRequests = 8
 )
 
 // Server is a backend server at which an attempt broke.
 type Server struct {
 	// Key names this start of it.
-	Key         quarantine.Server
+	Key         quarantine.ServerInstance
 	ID, Service string
-	// BornMs is the start, in milliseconds since 1970, or zero where it is not known.
-	BornMs int64
-	// Ended asks whether the process has ended. Where that cannot be found out it has not.
-	Ended func(ctx context.Context) bool
+	// StartedMs is the start, in milliseconds since 1970, or zero where it is not known.
+	StartedMs int64
+	// Exited asks whether the process has ended. Where that cannot be found out it has not.
+	Exited func(ctx context.Context) bool
 }
 
-// ending is a server that may have ended, with the requests that it had of this daemon.
-type ending struct {
+// suspectedExit is a server that may have ended, with the requests that it had of this daemon.
+type suspectedExit struct {
 	server Server
-	lost   []quarantine.Lost
-	// at is when the first attempt broke.
-	at time.Time
-	// certain is set where a later incarnation was heard of: this one has ended.
-	certain bool
+	lost   []quarantine.LostRequest
+	// brokeAt is when the first attempt broke.
+	brokeAt time.Time
+	// confirmed is set where a later incarnation was heard of: this one has ended.
+	confirmed bool
 }
 
-// endings are servers that are about to be asked.
-type endings struct {
-	mu    sync.Mutex
-	asked map[quarantine.Server]*ending
+// pendingProbes are servers that are about to be asked.
+type pendingProbes struct {
+	mu       sync.Mutex
+	byServer map[quarantine.ServerInstance]*suspectedExit
 }
 
 // Broke notes that an attempt broke at a server, which is asked soon whether it has ended, or
 // the connection alone. All attempts that break at a server are asked for once. certain is set
 // where the server is known to have ended.
-func (w *Watch) Broke(server Server, lost quarantine.Lost, certain bool, at time.Time) {
-	w.endings.mu.Lock()
-	defer w.endings.mu.Unlock()
-	e := w.endings.asked[server.Key]
+func (w *Watcher) Broke(server Server, lost quarantine.LostRequest, certain bool, at time.Time) {
+	w.probes.mu.Lock()
+	defer w.probes.mu.Unlock()
+	e := w.probes.byServer[server.Key]
 	if e == nil {
-		e = &ending{server: server, at: at}
-		w.endings.asked[server.Key] = e
-		time.AfterFunc(askAfter, func() { w.ask(server) })
+		e = &suspectedExit{server: server, brokeAt: at}
+		w.probes.byServer[server.Key] = e
+		time.AfterFunc(probeDelay, func() { w.probe(server) })
 	}
 	e.lost = append(e.lost, lost)
-	e.certain = e.certain || certain
+	e.confirmed = e.confirmed || certain
 }
 
-// ask asks a server whether it has ended.
-func (w *Watch) ask(server Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), askFor)
+// probe asks a server whether it has ended.
+func (w *Watcher) probe(server Server) {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	ended := server.Ended(ctx)
-	w.endings.mu.Lock()
-	e := *w.endings.asked[server.Key]
-	delete(w.endings.asked, server.Key)
-	w.endings.mu.Unlock()
-	if ended || e.certain {
-		w.ended(e)
+	ended := server.Exited(ctx)
+	w.probes.mu.Lock()
+	e := *w.probes.byServer[server.Key]
+	delete(w.probes.byServer, server.Key)
+	w.probes.mu.Unlock()
+	if ended || e.confirmed {
+		w.recordExit(e)
 	}
 }
 
-func (e *ending) log(logger *slog.Logger) {
+func (e *suspectedExit) log(logger *slog.Logger) {
 	var names []string
-	for _, lost := range e.lost[:min(contentsLogged, len(e.lost))] {
-		names = append(names, lost.Content.String())
+	for _, lost := range e.lost[:min(maxLoggedRequests, len(e.lost))] {
+		names = append(names, lost.Digest.String())
 	}
 	logger.Warn("server has ended under requests", "server", e.server.ID, "service", e.server.Service,
-		"born_ms", e.server.BornMs, "requests", len(e.lost), "contents", strings.Join(names, " "))
+		"born_ms", e.server.StartedMs, "requests", len(e.lost), "contents", strings.Join(names, " "))
 }
--- a/internal/rollout/baseline_test.go
+++ b/internal/rollout/baseline_test.go
@@ -7,37 +7,37 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// baseline is a simpler policy than the board's, with counts that are always up to date.
-type baseline struct {
+// fixedPolicy is a simpler policy than the board's, with counts that are always up to date.
+type fixedPolicy struct {
 	name string
 	// share goes to the candidate until the end, when all of it does.
 	share float64
-	// worst is the share of failures, of 20 answers at least, above which it is rolled back;
+	// maxFailureShare is the share of failures, of 20 answers at least, above which it is rolled back;
 	// none where it is zero.
-	worst float64
+	maxFailureShare float64
 }
 
-var baselines = []baseline{
+var fixedPolicies = []fixedPolicy{
 	{"all at once", 1, 0}, {"a tenth, back above 5 in 100 failures", 0.1, 0.05}, {"a tenth, back above 20 in 100 failures", 0.1, 0.2},
 }
 
-// playBaseline plays one roll-out by a baseline, in a calm deployment.
-func playBaseline(policy baseline, v version, seed uint64) result {
-	p := &play{rng: rand.New(rand.NewPCG(seed, 7)), version: v}
+// simulateFixedPolicy plays one roll-out by a baseline, in a calm deployment.
+func simulateFixedPolicy(policy fixedPolicy, v candidateModel, seed uint64) simResult {
+	p := &simulation{rng: rand.New(rand.NewPCG(seed, 7)), model: v}
 	answers, failed := 0, 0
-	r := result{state: StateRunning}
-	for p.age = 0; p.age < playFor; p.age += playTick {
-		for _, route := range playedRoutes {
-			n := int(route.rate*playTick.Seconds() + p.rng.Float64())
+	r := simResult{state: StateRunning}
+	for p.age = 0; p.age < simDuration; p.age += simTick {
+		for _, route := range simRoutes {
+			n := int(route.requestsPerSecond*simTick.Seconds() + p.rng.Float64())
 			for range n {
 				r.requests++
 				if r.state == StateRolledBack || p.rng.Float64() >= policy.share {
 					continue
 				}
 				r.exposed++
-				fails := route.fails
-				if p.age >= v.from && (v.route == "" || v.route == route.name) && (!v.underLoad || policy.share >= 0.5) {
-					fails += (1 - fails) * v.fails
+				fails := route.failureRate
+				if p.age >= v.activeFrom && (v.route == "" || v.route == route.name) && (!v.underLoad || policy.share >= 0.5) {
+					fails += (1 - fails) * v.failureRate
 				}
 				answers++
 				if p.rng.Float64() < fails {
@@ -45,7 +45,7 @@
 				}
 			}
 		}
-		if policy.worst > 0 && answers >= 20 && float64(failed) > policy.worst*float64(answers) {
+		if policy.maxFailureShare > 0 && answers >= 20 && float64(failed) > policy.maxFailureShare*float64(answers) {
 			r.state = StateRolledBack
 		}
 	}
@@ -60,19 +60,19 @@
 func TestBaselines(t *testing.T) {
 	c := qt.New(t)
 	const plays = 20
-	for _, policy := range baselines {
+	for _, policy := range fixedPolicies {
 		wrong, broken := 0, 0
-		for _, v := range playedVersions {
-			if v.slower > 1 {
+		for _, v := range candidateModels {
+			if v.latencyFactor > 1 {
 				// They look at failures alone.
 				continue
 			}
 			for seed := range plays {
-				r := playBaseline(policy, v, uint64(seed+1))
-				if v.bad() && r.breaks() {
+				r := simulateFixedPolicy(policy, v, uint64(seed+1))
+				if v.isBad() && r.exceedsBounds() {
 					broken++
 				}
-				if v.bad() != (r.state == StateRolledBack) && !faint[v.name] {
+				if v.isBad() != (r.state == StateRolledBack) && !undetectable[v.name] {
 					wrong++
 				}
 			}
@@ -81,16 +81,16 @@
 		c.Check(wrong > 0, qt.IsTrue, qt.Commentf("%s", policy.name))
 	}
 	wrong, broken := 0, 0
-	for _, v := range playedVersions {
-		if v.slower > 1 || faint[v.name] {
+	for _, v := range candidateModels {
+		if v.latencyFactor > 1 || undetectable[v.name] {
 			continue
 		}
 		for seed := range plays {
-			r := playOut(8, v, trouble{name: "calm"}, uint64(seed+1))
-			if v.bad() && r.breaks() {
+			r := simulate(8, v, fault{name: "calm"}, uint64(seed+1))
+			if v.isBad() && r.exceedsBounds() {
 				broken++
 			}
-			if v.bad() != (r.state == StateRolledBack) {
+			if v.isBad() != (r.state == StateRolledBack) {
 				wrong++
 			}
 		}
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -65,8 +65,8 @@
 	Stop time.Duration
 }
 
-// Given reports whether roll-outs are allowed at all.
-func (b Bounds) Given() bool { return b.Share > 0 && b.Stop > 0 }
+// Enabled reports whether roll-outs are allowed at all.
+func (b Bounds) Enabled() bool { return b.Share > 0 && b.Stop > 0 }
 
 // Step is what the holder of the lease asks all daemons to do.
 type Step struct {
@@ -85,8 +85,8 @@
 	return s.Fence > other.Fence || (s.Fence == other.Fence && s.Serial > other.Serial)
 }
 
-// Word is what daemons tell each other about one order.
-type Word struct {
+// OrderStatus is what daemons tell each other about one order.
+type OrderStatus struct {
 	Order
 	// Stable is the version that the service had before.
 	Stable string
--- a/internal/rollout/tally.go
+++ b/internal/rollout/tally.go
@@ -13,35 +13,35 @@
 // times as long as they should.
 type Tally struct {
 	Answers, Bad int64
-	// First and Each add up, over answers of the stable version that were no failures, how long
+	// LatencySum and Each add up, over answers of the stable version that were no failures, how long
 	// the first event took, as a multiple of what was predicted or in seconds, and the mean
 	// time between events, in seconds.
-	First, Each float64
+	LatencySum, EventIntervalSum float64
 }
 
 func (t Tally) add(other Tally) Tally {
-	return Tally{Answers: t.Answers + other.Answers, Bad: t.Bad + other.Bad, First: t.First + other.First, Each: t.Each + other.Each}
+	return Tally{Answers: t.Answers + other.Answers, Bad: t.Bad + other.Bad, LatencySum: t.LatencySum + other.LatencySum, EventIntervalSum: t.EventIntervalSum + other.EventIntervalSum}
 }
 
-// grown returns what has come since an earlier tally. Sums shrink when a daemon that was
+// since returns what has come since an earlier tally. Sums shrink when a daemon that was
 // counted in falls silent.
-func (t Tally) grown(before Tally) Tally {
+func (t Tally) since(before Tally) Tally {
 	answers := max(0, t.Answers-before.Answers)
 	return Tally{Answers: answers, Bad: min(answers, max(0, t.Bad-before.Bad))}
 }
 
-// Sent counts the requests for a service, and those sent to the candidate.
-type Sent struct{ Requests, Exposed int64 }
+// RequestCounts counts the requests for a service, and those sent to the candidate.
+type RequestCounts struct{ Requests, Exposed int64 }
 
 // Tallies are the counts of a daemon, or the sums over many.
 type Tallies struct {
-	Answers map[Key]Tally
-	Sent    map[string]Sent
+	Answers  map[Key]Tally
+	Requests map[string]RequestCounts
 }
 
 // NewTallies returns counts of nothing.
 func NewTallies() Tallies {
-	return Tallies{Answers: map[Key]Tally{}, Sent: map[string]Sent{}}
+	return Tallies{Answers: map[Key]Tally{}, Requests: map[string]RequestCounts{}}
 }
 
 // Add adds what others have counted.
@@ -49,11 +49,11 @@
 	for key, tally := range more.Answers {
 		t.Answers[key] = t.Answers[key].add(tally)
 	}
-	for service, sent := range more.Sent {
-		sum := t.Sent[service]
+	for service, sent := range more.Requests {
+		sum := t.Requests[service]
 		sum.Requests += sent.Requests
 		sum.Exposed += sent.Exposed
-		t.Sent[service] = sum
+		t.Requests[service] = sum
 	}
 }
 
@@ -64,9 +64,9 @@
 	return copied
 }
 
-// routes returns the tallies of one service by route: those of the candidate's servers
+// byRoute returns the tallies of one service by route: those of the candidate's servers
 // together, and those of the stable version.
-func (t Tallies) routes(service string) (candidate, stable map[string]Tally) {
+func (t Tallies) byRoute(service string) (candidate, stable map[string]Tally) {
 	candidate, stable = map[string]Tally{}, map[string]Tally{}
 	for key, tally := range t.Answers {
 		switch {
@@ -80,9 +80,9 @@
 	return candidate, stable
 }
 
-// servers returns the tallies of the candidate's servers of one service by route, and over
+// byServer returns the tallies of the candidate's servers of one service by route, and over
 // all routes under the empty name.
-func (t Tallies) servers(service string) map[string]map[uint32]Tally {
+func (t Tallies) byServer(service string) map[string]map[uint32]Tally {
 	servers := map[string]map[uint32]Tally{"": {}}
 	for key, tally := range t.Answers {
 		if key.Service != service || key.Server == 0 {
--- a/internal/rollout/usual.go
+++ b/internal/rollout/usual.go
@@ -7,8 +7,8 @@
 	// spread: some in a hundred of a sound one are slow too, which the comparison of both
 	// versions takes off.
 	slowFactor = 2.0
-	// usualFrom is the number of answers from which on it is known what is usual.
-	usualFrom = 5
+	// minBaselineAnswers is the number of answers from which on it is known what is usual.
+	minBaselineAnswers = 5
 )
 
 // Answer is how a server answered one request.
@@ -19,38 +19,38 @@
 	Server uint32
 	// Failed is set for a failure of the server's own.
 	Failed bool
-	// Took is the time to the first event, or to the whole answer, and Expected what was
+	// Latency is the time to the first event, or to the whole answer, and Expected what was
 	// predicted, zero where nothing is.
-	Took, Expected time.Duration
-	// EachEvent is the mean time between the events of a stream, zero without any.
-	EachEvent time.Duration
+	Latency, ExpectedLatency time.Duration
+	// EventInterval is the mean time between the events of a stream, zero without any.
+	EventInterval time.Duration
 }
 
-// usual is how long the stable version takes on a route, over all daemons: against what was
+// latencyBaseline is how long the stable version takes on a route, over all daemons: against what was
 // predicted where something is, so that the size of a prompt and a queue do not count. One
 // daemon of many hears too few answers to know it by itself.
-type usual struct {
-	first, each float64
-	seen        int64
+type latencyBaseline struct {
+	latency, eventInterval float64
+	answers                int64
 }
 
-// usualOf returns what is usual from the sums of a route.
-func usualOf(stable Tally) usual {
+// baselineOf returns what is usual from the sums of a route.
+func baselineOf(stable Tally) latencyBaseline {
 	well := max(1, stable.Answers)
-	return usual{first: stable.First / float64(well), each: stable.Each / float64(well), seen: stable.Answers}
+	return latencyBaseline{latency: stable.LatencySum / float64(well), eventInterval: stable.EventIntervalSum / float64(well), answers: stable.Answers}
 }
 
 // slow reports whether an answer took several times as long as is usual.
-func (u usual) slow(a Answer) bool {
-	if u.seen < usualFrom {
+func (u latencyBaseline) slow(a Answer) bool {
+	if u.answers < minBaselineAnswers {
 		return false
 	}
-	return against(a) > slowFactor*u.first || (u.each > 0 && a.EachEvent.Seconds() > slowFactor*u.each)
+	return relativeLatency(a) > slowFactor*u.latency || (u.eventInterval > 0 && a.EventInterval.Seconds() > slowFactor*u.eventInterval)
 }
 
-func against(a Answer) float64 {
-	if a.Expected > 0 {
-		return a.Took.Seconds() / a.Expected.Seconds()
+func relativeLatency(a Answer) float64 {
+	if a.ExpectedLatency > 0 {
+		return a.Latency.Seconds() / a.ExpectedLatency.Seconds()
 	}
-	return a.Took.Seconds()
+	return a.Latency.Seconds()
 }
--- a/internal/router/encode.go
+++ b/internal/router/encode.go
@@ -50,10 +50,10 @@
 	for key, tally := range c.Versions.Answers {
 		counts.Tallies = append(counts.Tallies, &gossippb.VersionTally{
 			Service: key.Service, Route: key.Route, Server: key.Server, Answers: tally.Answers, Bad: tally.Bad,
-			First: tally.First, Each: tally.Each,
+			First: tally.LatencySum, Each: tally.EventIntervalSum,
 		})
 	}
-	for service, sent := range c.Versions.Sent {
+	for service, sent := range c.Versions.Requests {
 		counts.Sent = append(counts.Sent, &gossippb.VersionSent{Service: service, Requests: sent.Requests, Exposed: sent.Exposed})
 	}
 	return counts
@@ -86,16 +86,16 @@
 	}
 	for _, t := range c.GetTallies() {
 		key := rollout.Key{Service: t.GetService(), Route: t.GetRoute(), Server: t.GetServer()}
-		counts.Versions.Answers[key] = rollout.Tally{Answers: t.GetAnswers(), Bad: t.GetBad(), First: t.GetFirst(), Each: t.GetEach()}
+		counts.Versions.Answers[key] = rollout.Tally{Answers: t.GetAnswers(), Bad: t.GetBad(), LatencySum: t.GetFirst(), EventIntervalSum: t.GetEach()}
 	}
 	for _, sent := range c.GetSent() {
-		counts.Versions.Sent[sent.GetService()] = rollout.Sent{Requests: sent.GetRequests(), Exposed: sent.GetExposed()}
+		counts.Versions.Requests[sent.GetService()] = rollout.RequestCounts{Requests: sent.GetRequests(), Exposed: sent.GetExposed()}
 	}
 	return counts
 }
 
 // encodeRollOuts encodes what this daemon tells of the orders.
-func encodeRollOuts(words []rollout.Word) []*gossippb.RollOut {
+func encodeRollOuts(words []rollout.OrderStatus) []*gossippb.RollOut {
 	var told []*gossippb.RollOut
 	for _, w := range words {
 		told = append(told, &gossippb.RollOut{
@@ -108,14 +108,14 @@
 }
 
 // decodeRollOuts decodes what encodeRollOuts made. What no daemon tells is left out.
-func decodeRollOuts(told []*gossippb.RollOut) []rollout.Word {
-	var words []rollout.Word
+func decodeRollOuts(told []*gossippb.RollOut) []rollout.OrderStatus {
+	var words []rollout.OrderStatus
 	for _, w := range told {
 		state := rollout.State(w.GetState())
 		if state < rollout.StateNew || state > rollout.StateWithdrawn || w.GetService() == "" {
 			continue
 		}
-		words = append(words, rollout.Word{
+		words = append(words, rollout.OrderStatus{
 			Order: rollout.Order{
 				Service: w.GetService(), Version: w.GetVersion(), Duration: time.Duration(w.GetDurationMs()) * time.Millisecond,
 				Created: w.GetCreated(), Revision: w.GetRevision(), State: state,
@@ -128,17 +128,17 @@
 }
 
 // encodeHeld encodes what this daemon tells of requests under which servers have ended.
-func encodeHeld(words []quarantine.Word) []*gossippb.Held {
+func encodeHeld(words []quarantine.Report) []*gossippb.Held {
 	var told []*gossippb.Held
 	for _, w := range words {
 		held := &gossippb.Held{
-			Content: uint64(w.Content), Barred: w.Barred, BarredMs: w.BarredAge.Milliseconds(),
+			Content: uint64(w.Digest), Barred: w.Blocked, BarredMs: w.BlockedAge.Milliseconds(),
 			Answered: w.Answered, AnsweredMs: w.AnsweredAge.Milliseconds(),
 		}
-		for _, e := range w.Endings {
+		for _, e := range w.Exits {
 			held.Servers = append(held.Servers, uint32(e.Server))
 			held.EndedUs = append(held.EndedUs, e.Age.Microseconds())
-			held.AfterUs = append(held.AfterUs, e.After.Microseconds())
+			held.AfterUs = append(held.AfterUs, e.SentBefore.Microseconds())
 		}
 		told = append(told, held)
 	}
@@ -146,17 +146,17 @@
 }
 
 // decodeHeld decodes what encodeHeld made. Ages are not below zero.
-func decodeHeld(told []*gossippb.Held) []quarantine.Word {
-	var words []quarantine.Word
+func decodeHeld(told []*gossippb.Held) []quarantine.Report {
+	var words []quarantine.Report
 	for _, held := range told {
-		word := quarantine.Word{
-			Content: quarantine.Content(held.GetContent()), Barred: held.GetBarred(), BarredAge: millis(held.GetBarredMs()),
+		word := quarantine.Report{
+			Digest: quarantine.Digest(held.GetContent()), Blocked: held.GetBarred(), BlockedAge: millis(held.GetBarredMs()),
 			Answered: held.GetAnswered(), AnsweredAge: millis(held.GetAnsweredMs()),
 		}
 		for i, server := range held.GetServers() {
 			if i < len(held.GetEndedUs()) && i < len(held.GetAfterUs()) {
-				word.Endings = append(word.Endings, quarantine.Ending{
-					Server: quarantine.Server(server), Age: micros(held.GetEndedUs()[i]), After: micros(held.GetAfterUs()[i]),
+				word.Exits = append(word.Exits, quarantine.ServerExit{
+					Server: quarantine.ServerInstance(server), Age: micros(held.GetEndedUs()[i]), SentBefore: micros(held.GetAfterUs()[i]),
 				})
 			}
 		}
--- a/internal/router/heldexchange.go
+++ b/internal/router/heldexchange.go
@@ -21,7 +21,7 @@
 
 // heldWords is a daemon's object.
 type heldWords struct {
-	Words []quarantine.Word `json:"words"`
+	Words []quarantine.Report `json:"words"`
 	// WrittenMs is the time of day as of which they are told, in milliseconds since 1970.
 	WrittenMs int64 `json:"written_ms"`
 }
@@ -38,7 +38,7 @@
 			if _, complete := r.state.reach(now); complete || !r.plan(now).Leader {
 				continue
 			}
-			changes := r.state.quarantine.Changes()
+			changes := r.state.quarantine.ChangeCount()
 			if changes != written && r.publishHeld(ctx, now) {
 				written = changes
 			}
@@ -51,7 +51,7 @@
 
 // publishHeld writes what this daemon knows.
 func (r *Router) publishHeld(ctx context.Context, now time.Time) bool {
-	own := heldWords{Words: r.state.quarantine.Tell(now), WrittenMs: now.UnixMilli()}
+	own := heldWords{Words: r.state.quarantine.Reports(now), WrittenMs: now.UnixMilli()}
 	err := store.Overwrite(ctx, r.objects, heldKind, r.settings.VM.ID, own)
 	if err != nil {
 		r.logger.Warn("requests that are held back not published", "error", err)
@@ -74,7 +74,7 @@
 			continue
 		}
 		if object.Name != r.settings.VM.ID {
-			r.state.quarantine.Hear(other.Words, max(0, now.Sub(time.UnixMilli(other.WrittenMs))), now)
+			r.state.quarantine.Merge(other.Words, max(0, now.Sub(time.UnixMilli(other.WrittenMs))), now)
 		}
 	}
 }
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -22,9 +22,9 @@
 	if uses, known := s.limiter.uses(); known {
 		memory.WrittenAtMs, memory.RecentUses, memory.DemandRates, memory.Warmup = now.UnixMilli(), uses, s.limiter.asked(), s.limiter.warmup()
 	}
-	memory.HeldRequests, memory.HeldAtMs = s.quarantine.Remember(now), now.UnixMilli()
+	memory.HeldRequests, memory.HeldAtMs = s.quarantine.Snapshot(now), now.UnixMilli()
 	if s.router.board.Enabled() {
-		versions := s.router.board.Remember(now)
+		versions := s.router.board.Snapshot(now)
 		memory.RollOuts = &versions
 	}
 	return memory
@@ -40,7 +40,7 @@
 	s.ledger.HeardAll(memory.RequestWindows)
 	opened := s.openAllowances(memory)
 	if memory.RollOuts != nil {
-		s.router.board.Recall(*memory.RollOuts, max(0, s.started.Sub(time.UnixMilli(memory.WrittenAtMs))), now)
+		s.router.board.Restore(*memory.RollOuts, max(0, s.started.Sub(time.UnixMilli(memory.WrittenAtMs))), now)
 		s.router.useVersions(now)
 	}
 	s.mu.Lock()
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -71,7 +71,7 @@
 	reach, _ := b.state.reach(now)
 	gauge(daemonsSeen, float64(reach.Heard), "heard")
 	gauge(daemonsSeen, float64(reach.Known), "known")
-	gauge(heldBack, float64(b.state.quarantine.Count(now)))
+	gauge(heldBack, float64(b.state.quarantine.BlockedCount(now)))
 	plan := b.plan(now)
 	gauge(roles, flag(plan.Relay), "relay")
 	gauge(roles, flag(plan.Leader), "lead")
@@ -83,11 +83,11 @@
 // collectRollOuts tells how far roll-outs are. There is one for each service at the most.
 func (b beliefs) collectRollOuts(gauge func(d *prometheus.Desc, value float64, labels ...string), now time.Time) {
 	sums := b.state.versionSums(now)
-	for _, word := range b.board.Tell(now) {
+	for _, word := range b.board.Statuses(now) {
 		gauge(rollOutState, 1, word.Service, word.Version, word.State.String())
 		gauge(rollOutHalted, flag(word.Halted), word.Service, word.Version)
 		gauge(rollOutShare, word.Step.Share, word.Service, word.Version)
-		sent := sums.Sent[word.Service]
+		sent := sums.Requests[word.Service]
 		gauge(rollOutSent, float64(sent.Requests), word.Service, word.Version, "any")
 		gauge(rollOutSent, float64(sent.Exposed), word.Service, word.Version, "version")
 	}
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -8,11 +8,11 @@
 )
 
 // newQuarantine returns what holds back requests that end servers.
-func (r *Router) newQuarantine() *watch.Watch {
+func (r *Router) newQuarantine() *watch.Watcher {
 	return watch.New(watch.Options{
-		Round:  func(now time.Time) time.Duration { return r.node.ReportInterval(now) },
-		Soon:   r.soon,
-		Logger: r.logger,
+		ReportInterval: func(now time.Time) time.Duration { return r.node.ReportInterval(now) },
+		NotifyPeers:    r.soon,
+		Logger:         r.logger,
 	})
 }
 
@@ -20,5 +20,5 @@
 // daemon that is cut off from the holder reads the record in its turn.
 func (s *state) learnHeld(memory lease.Snapshot) {
 	now := time.Now()
-	s.quarantine.Hear(memory.HeldRequests, max(0, now.Sub(time.UnixMilli(memory.HeldAtMs))), now)
+	s.quarantine.Merge(memory.HeldRequests, max(0, now.Sub(time.UnixMilli(memory.HeldAtMs))), now)
 }
--- a/internal/router/register.go
+++ b/internal/router/register.go
@@ -57,7 +57,7 @@
 	}
 	var unread error
 	if !done.recalled {
-		memory, err := r.holder.Recall(ctx)
+		memory, err := r.holder.LoadMemory(ctx)
 		if err == nil {
 			memory, err = r.latestUses(ctx, memory)
 		}
--- a/internal/router/rollouts.go
+++ b/internal/router/rollouts.go
@@ -39,7 +39,7 @@
 		}
 		orders = append(orders, order)
 	}
-	c.board.Listed(orders, unread, page.Revision, now)
+	c.board.ReplaceOrders(orders, unread, page.Revision, now)
 	c.useVersions(now)
 }
 
@@ -66,13 +66,13 @@
 // Advance implements store.Consumer.
 func (c orderConsumer) Advance(revision int64, _ time.Time, failing bool) {
 	if !failing {
-		c.board.Read(revision)
+		c.board.AdvanceRevision(revision)
 	}
 }
 
 // takeOrder takes over an order and writes down what is new of it.
 func (r *Router) takeOrder(order rollout.Order, source string, now time.Time) {
-	if r.board.Take(order, now) {
+	if r.board.ApplyOrder(order, now) {
 		r.logger.Info("roll-out", "service", order.Service, "version", order.Version, "state", order.State.String(),
 			"duration_ms", order.Duration.Milliseconds(), "revision", order.Revision, "source", source)
 	}
@@ -83,7 +83,7 @@
 	if !r.board.Enabled() {
 		return
 	}
-	halts := r.board.Hear(decodeRollOuts(status.GetRollOuts()), status.GetRollOutsRead(), now)
+	halts := r.board.Merge(decodeRollOuts(status.GetRollOuts()), status.GetRollOutsRead(), now)
 	if len(halts) > 0 {
 		r.logHalts(halts)
 		r.useVersions(now)
@@ -93,7 +93,7 @@
 // logHalts writes down versions that get nothing more.
 func (r *Router) logHalts(halts []rollout.Halt) {
 	for _, halt := range halts {
-		r.logger.Warn("version gets nothing more", "service", halt.Order.Service, "version", halt.Order.Version, "why", halt.Why,
+		r.logger.Warn("version gets nothing more", "service", halt.Order.Service, "version", halt.Order.Version, "why", halt.Reason,
 			"answers", halt.Answers, "revision", halt.Order.Revision)
 	}
 	if len(halts) > 0 {
@@ -108,7 +108,7 @@
 	}
 	r.nameVersions(now)
 	for service, v := range r.board.Versions(now) {
-		r.state.view.SetVersions(service, backend.Versions{Enforced: true, Stable: v.Stable, Candidate: v.Candidate, AllCandidates: v.All})
+		r.state.view.SetVersions(service, backend.Versions{Enforced: true, Stable: v.Stable, Candidate: v.Candidate, AllCandidates: v.AllServers})
 	}
 }
 
@@ -121,20 +121,20 @@
 	}
 	unnamed := map[string]map[string]int{}
 	for service := range c.Services {
-		if !r.board.Named(service) {
+		if !r.board.StableKnown(service) {
 			unnamed[service] = map[string]int{}
 		}
 	}
 	if len(unnamed) == 0 {
 		return
 	}
-	for _, count := range r.state.view.CountVersions(r.board.ReadUpTo(), now) {
+	for _, count := range r.state.view.CountVersions(r.board.Revision(), now) {
 		if found, wanted := unnamed[count.Service]; wanted {
 			found[count.Version] += count.Servers
 		}
 	}
 	for service, found := range unnamed {
-		r.board.Found(service, found)
+		r.board.SetInitialStable(service, found)
 	}
 	r.askForOrders(unnamed)
 }
@@ -144,7 +144,7 @@
 func (r *Router) askForOrders(unnamed map[string]map[string]int) {
 	newest := r.state.view.NewestRevision(func(service string) bool { return unnamed[service] != nil })
 	asked := r.ordersAsked.Load()
-	if newest <= max(asked, r.board.ReadUpTo()) || !r.following.Load() {
+	if newest <= max(asked, r.board.Revision()) || !r.following.Load() {
 		return
 	}
 	if r.ordersAsked.CompareAndSwap(asked, newest) {
@@ -159,7 +159,7 @@
 	for {
 		select {
 		case now := <-ticker.C:
-			if r.board.Trying() {
+			if r.board.Active() {
 				r.logHalts(r.board.Observe(r.state.versionSums(now), now))
 			}
 			r.useVersions(now)
@@ -181,7 +181,7 @@
 
 // rolling reports whether a service is on its way to another version.
 func (r *Router) rolling(service string) bool {
-	return r.board.Enabled() && r.board.Rolling(service)
+	return r.board.Enabled() && r.board.VersionUnsettled(service)
 }
 
 // driveRollOuts moves the roll-outs on while this daemon holds the lease.
@@ -192,11 +192,11 @@
 	for {
 		select {
 		case now := <-ticker.C:
-			right, holds := r.holder.Right()
+			right, holds := r.holder.Token()
 			if !holds {
 				continue
 			}
-			outcomes := r.board.Drive(right.Fence, r.fleetOf(now), now)
+			outcomes := r.board.Advance(right.Fence, r.fleetOf(now), now)
 			if now.Sub(refused) < writeAgain {
 				continue
 			}
@@ -212,16 +212,16 @@
 }
 
 // fleetOf returns what the holder sees of a service's servers.
-func (r *Router) fleetOf(now time.Time) rollout.Servers {
+func (r *Router) fleetOf(now time.Time) rollout.FleetFunc {
 	return func(service, stable, candidate string) rollout.Fleet {
 		var fleet rollout.Fleet
 		for _, count := range r.state.view.CountVersions(math.MaxInt64, now) {
 			switch {
 			case count.Service != service:
 			case count.Version == candidate:
-				fleet.Candidates = count.Servers
+				fleet.CandidateServers = count.Servers
 			case count.Version == stable:
-				fleet.OldRunning = count.Running
+				fleet.StableInFlight = count.Running
 			}
 		}
 		return fleet
@@ -230,7 +230,7 @@
 
 // writeOutcome writes how far a roll-out is, if the order is still as it was. What the store
 // then has is taken over. It returns false where nothing is known of that.
-func (r *Router) writeOutcome(ctx context.Context, outcome rollout.Outcome) bool {
+func (r *Router) writeOutcome(ctx context.Context, outcome rollout.StateChange) bool {
 	order := outcome.Order
 	object, err := r.objects.ReplaceStatus(ctx, platform.KindRollOuts, order.Service, order.Revision, platform.EncodeRollOutStatus(order, outcome.State))
 	if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrUnknown) || errors.Is(err, store.ErrNotFound) {
@@ -252,7 +252,7 @@
 		r.bad.note(err, now)
 		return false
 	}
-	r.logger.Info("state of a roll-out written", "service", order.Service, "version", order.Version, "state", outcome.State.String(), "why", outcome.Why, "revision", object.Revision)
+	r.logger.Info("state of a roll-out written", "service", order.Service, "version", order.Version, "state", outcome.State.String(), "why", outcome.Reason, "revision", object.Revision)
 	r.takeOrder(standing, "own write", now)
 	r.useVersions(now)
 	r.node.TriggerReport()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -78,7 +78,7 @@
 	objects store.Store
 	members *gossip.Members
 	node    *gossip.Node
-	holder  *duty.Holder
+	holder  *duty.Elector
 	configs *store.Follower
 	servers *store.Follower
 	// registered is set once this daemon knows of the others.
@@ -96,7 +96,7 @@
 	// listsDiffer counts lists of servers that differ from the peer's that told them.
 	listsDiffer prometheus.Counter
 	// board is what this daemon knows of versions, orders their follower.
-	board  *rollout.Board
+	board  *rollout.Tracker
 	orders *store.Follower
 	// ordersAsked is the revision of the servers for which orders were last listed at once.
 	ordersAsked atomic.Int64
@@ -214,9 +214,9 @@
 		IdleTimeout:       idleTimeout,
 		ErrorLog:          slog.NewLogLogger(r.logger.Handler(), slog.LevelDebug),
 	}
-	r.holder = duty.NewHolder(duty.Options{
+	r.holder = duty.NewElector(duty.Options{
 		Self: r.settings.VM.ID, Address: r.settings.Listen.Peers, Incarnation: r.incarnation, Duration: r.settings.Bounds.Lease.Std(),
-		Store: r.objects, Peers: peersOf{r}, Logger: r.logger, Soon: r.node.TriggerReport, Remember: r.state.remember, Learn: r.state.learnHeld,
+		Store: r.objects, Peers: peersOf{r}, Logger: r.logger, NotifyPeers: r.node.TriggerReport, BuildMemory: r.state.remember, OnMemory: r.state.learnHeld,
 	})
 }
 
@@ -287,11 +287,11 @@
 		Self: r.settings.VM.ID, Incarnation: r.incarnation, Store: r.objects, Ledger: r.state.ledger, Peers: peersOf{r}, Logger: r.logger,
 	}
 	reporter := &duty.Reporter{
-		Holder: r.holder, Cloud: r.cloud, Ledger: r.state.ledger, Peers: peersOf{r}, Exchange: exchange, Logger: r.logger,
-		Due: r.settings.Bounds.UsageDue.Std(),
+		Elector: r.holder, Cloud: r.cloud, Ledger: r.state.ledger, Peers: peersOf{r}, Exchange: exchange, Logger: r.logger,
+		Deadline: r.settings.Bounds.UsageDue.Std(),
 	}
 	scaler := &duty.Scaler{
-		Holder: r.holder, Cloud: r.cloud, View: r.state.view, Catalog: r.state.Catalog, Demand: r.state.Demand, Rolling: r.rolling, Logger: r.logger,
+		Elector: r.holder, Cloud: r.cloud, View: r.state.view, Catalog: r.state.Catalog, Demand: r.state.Demand, VersionUnsettled: r.rolling, Logger: r.logger,
 	}
 	return append(loops, r.holder.Run, r.keepUses, exchange.Run, reporter.Run, scaler.Run)
 }
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -26,7 +26,7 @@
 	demand  *demand.Meter
 	limits  *firsttry.Limits
 	// quarantine holds back requests that end servers.
-	quarantine *watch.Watch
+	quarantine *watch.Watcher
 	catalog    atomic.Pointer[catalog.Catalog]
 	started    time.Time
 	// configured is closed with the first configuration.
--- a/internal/router/talk.go
+++ b/internal/router/talk.go
@@ -37,9 +37,9 @@
 	status.HistoryGoneMs = s.tellHistoryGone(time.Now())
 	s.mu.Unlock()
 	if s.router.board.Enabled() {
-		status.RollOuts, status.RollOutsRead = encodeRollOuts(s.router.board.Tell(time.Now())), s.router.board.ReadUpTo()
+		status.RollOuts, status.RollOutsRead = encodeRollOuts(s.router.board.Statuses(time.Now())), s.router.board.Revision()
 	}
-	status.Held = encodeHeld(s.quarantine.Tell(time.Now()))
+	status.Held = encodeHeld(s.quarantine.Reports(time.Now()))
 	now := time.Now()
 	status.Limits = encodeLimits(s.view.Limits(status.GetSequence(), now), now)
 	status.Leaving = encodeLeavingNotices(s.view.LeavingNotices(status.GetSequence(), now), now)
@@ -53,7 +53,7 @@
 	if s.router.holder == nil {
 		return 0
 	}
-	right, _ := s.router.holder.Right()
+	right, _ := s.router.holder.Token()
 	return right.Fence
 }
 
@@ -74,7 +74,7 @@
 func (s *state) OwnCounts(sequence uint64) *gossippb.Counts {
 	now := time.Now()
 	used := s.limiter.own()
-	own := rollup.Counts{Spent: used.Spent, Refused: used.Refused, Loads: s.view.OwnLoads(), Demand: s.demand.Rates(now), Paces: s.view.EngineFigures(), Versions: s.router.board.Own()}
+	own := rollup.Counts{Spent: used.Spent, Refused: used.Refused, Loads: s.view.OwnLoads(), Demand: s.demand.Rates(now), Paces: s.view.EngineFigures(), Versions: s.router.board.LocalTallies()}
 	s.sums.TakeOwn(own)
 	s.mu.Lock()
 	s.sent[sequence] = own
@@ -151,7 +151,7 @@
 	s.mu.Unlock()
 	s.router.followHistoryGone(status, now)
 	s.router.hearRollOuts(status, now)
-	s.quarantine.Hear(decodeHeld(status.GetHeld()), 0, now)
+	s.quarantine.Merge(decodeHeld(status.GetHeld()), 0, now)
 	s.mergeLimits(status, now)
 	s.mergeLeavingNotices(status, now)
 	if own := status.GetOwn(); own != nil && status.GetZone() == s.router.settings.VM.Zone {
