--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -36,7 +36,7 @@
 
 // refuseQuarantined refuses a request that the quarantine blocks.
 func (d *Dispatcher) refuseQuarantined(spec *request.Spec, now time.Time) *Refusal {
-	if !d.options.Quarantine.Barred(ContentOf(spec), now) {
+	if !d.options.Quarantine.Blocked(ContentOf(spec), now) {
 		return nil
 	}
 	return &Refusal{Status: http.StatusServiceUnavailable, Detail: errEndsServers.Error(), RetryAfter: quarantineRetryAfter}
@@ -46,9 +46,9 @@
 // after a broken attempt is held to a stricter rule than a first attempt.
 func (d *Dispatcher) checkQuarantine(flight *Flight, now time.Time) error {
 	switch {
-	case d.options.Quarantine.Barred(flight.content, now):
+	case d.options.Quarantine.Blocked(flight.content, now):
 		return errEndsServers
-	case flight.attempts() > 0 && d.options.Quarantine.Doubted(flight.content):
+	case flight.attempts() > 0 && d.options.Quarantine.Suspected(flight.content):
 		return errServersEnded
 	}
 	return nil
@@ -57,7 +57,7 @@
 // reportBroken reports to the quarantine that the connection of an attempt broke: the
 // server may have ended.
 func (d *Dispatcher) reportBroken(flight *Flight, server route.Server, sent, at time.Time) {
-	d.options.Quarantine.Broke(watch.Server{
+	d.options.Quarantine.RecordBrokenAttempt(watch.Server{
 		Key: serverEndKey(server.ID, at), ID: server.ID, Service: flight.spec.Service,
 		Exited: func(ctx context.Context) bool { return d.serverEnded(ctx, server.Address) },
 	}, quarantine.LostRequest{Digest: flight.content, SentAt: sent}, false, at)
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -48,13 +48,13 @@
 
 // Peers tells what is known of the other daemons' part in the lease.
 type Peers interface {
-	// Holder reports whether another daemon that is heard holds the lease.
-	Holder() bool
+	// HolderReachable reports whether another daemon that is heard holds the lease.
+	HolderReachable() bool
 	// Rank is this daemon's place among those that are heard, from zero.
 	Rank() int
-	// AllHeard reports whether every known daemon is heard, directly or through
+	// AllReachable reports whether every known daemon is heard, directly or through
 	// the leads of the zones.
-	AllHeard() bool
+	AllReachable() bool
 	// Zone returns this daemon's zone, whether it sums up what the daemons of the
 	// zone report, and whether others may not hear what it tells.
 	Zone() (name string, sums, cut bool)
@@ -168,7 +168,7 @@
 		if h.renewalDue(now) {
 			h.renew(ctx, nil)
 		}
-	case h.options.Peers.Holder():
+	case h.options.Peers.HolderReachable():
 		h.locked(func() { h.holderSeenAt = now })
 	case h.acquireDue(now):
 		h.locked(func() { h.acquireTriedAt, h.succeedsOwnLease = now, false })
--- a/internal/duty/exchange.go
+++ b/internal/duty/exchange.go
@@ -71,7 +71,7 @@
 			return false
 		}
 	}
-	if sums && !e.Peers.AllHeard() {
+	if sums && !e.Peers.AllReachable() {
 		e.Collect(ctx)
 	}
 	return true
--- a/internal/duty/reporter.go
+++ b/internal/duty/reporter.go
@@ -74,11 +74,11 @@
 		return false
 	}
 	late := time.Duration(silentPeerWaitFraction * float64(r.Deadline))
-	return age > late || r.Peers.AllHeard()
+	return age > late || r.Peers.AllReachable()
 }
 
 func (r *Reporter) send(ctx context.Context, window int64) bool {
-	if _, standing := r.Elector.recordedReport(window); !standing && !r.Peers.AllHeard() {
+	if _, standing := r.Elector.recordedReport(window); !standing && !r.Peers.AllReachable() {
 		r.Exchange.Collect(ctx)
 	}
 	counts, decided := r.Elector.RecordReport(ctx, window, r.Ledger.Sum(window))
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -59,7 +59,7 @@
 		r.options.Budget.Count(r.call.Service, time.Now())
 	}
 	if choice.Candidate && r.options.RollOuts != nil {
-		r.options.RollOuts.Exposed(r.call.Service)
+		r.options.RollOuts.RecordExposure(r.call.Service)
 	}
 	if err != nil {
 		return r.endNoAnswer(ctx)
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -203,14 +203,14 @@
 
 // Quarantine blocks requests that crash the servers that run them.
 type Quarantine interface {
-	// Barred reports whether a request is blocked.
-	Barred(content quarantine.Digest, now time.Time) bool
-	// Doubted reports whether a request whose attempt broke should not be retried on another server.
-	Doubted(content quarantine.Digest) bool
-	// Answered records that a server has run a request to completion.
-	Answered(content quarantine.Digest, now time.Time)
-	// Broke records that an attempt broke at a server. certain is set if the server is known to have ended.
-	Broke(server watch.Server, lost quarantine.LostRequest, certain bool, at time.Time)
+	// Blocked reports whether a request is blocked.
+	Blocked(content quarantine.Digest, now time.Time) bool
+	// Suspected reports whether a request whose attempt broke should not be retried on another server.
+	Suspected(content quarantine.Digest) bool
+	// RecordAnswer records that a server has run a request to completion.
+	RecordAnswer(content quarantine.Digest, now time.Time)
+	// RecordBrokenAttempt records that an attempt broke at a server. certain is set if the server is known to have ended.
+	RecordBrokenAttempt(server watch.Server, lost quarantine.LostRequest, certain bool, at time.Time)
 }
 
 // Demand measures the requested load of each service.
@@ -221,13 +221,13 @@
 // RollOuts decides which requests go to the candidate version of a service, and collects
 // the results of both versions.
 type RollOuts interface {
-	// Asked counts a request and reports whether it goes to the candidate. once is set for
+	// AssignRequest counts a request and reports whether it goes to the candidate. once is set for
 	// a request that must not run twice; draw is uniform in [0, 1).
-	Asked(service, route string, once bool, draw float64, now time.Time) bool
-	// Moved reports whether all requests of a service, retries included, go to the candidate.
-	Moved(service string, now time.Time) bool
-	// Exposed counts a request that was sent to the candidate.
-	Exposed(service string)
-	// Answered records the result of an answer.
-	Answered(rollout.Answer)
+	AssignRequest(service, route string, once bool, draw float64, now time.Time) bool
+	// FullyShifted reports whether all requests of a service, retries included, go to the candidate.
+	FullyShifted(service string, now time.Time) bool
+	// RecordExposure counts a request that was sent to the candidate.
+	RecordExposure(service string)
+	// RecordAnswer records the result of an answer.
+	RecordAnswer(rollout.Answer)
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -209,9 +209,9 @@
 	switch {
 	case r.options.Quarantine == nil:
 		return nil
-	case r.options.Quarantine.Barred(r.content, now):
+	case r.options.Quarantine.Blocked(r.content, now):
 		refusal.Reason = "request ends the servers that run it"
-	case r.sentAttempts > 0 && r.options.Quarantine.Doubted(r.content):
+	case r.sentAttempts > 0 && r.options.Quarantine.Suspected(r.content):
 		refusal.Reason = "servers ended under requests like this one"
 	default:
 		return nil
@@ -222,7 +222,7 @@
 // reportCompleted reports to the quarantine that a server has run the call to completion.
 func (r *run) reportCompleted(now time.Time) {
 	if r.options.Quarantine != nil {
-		r.options.Quarantine.Answered(r.content, now)
+		r.options.Quarantine.RecordAnswer(r.content, now)
 	}
 }
 
@@ -231,7 +231,7 @@
 	if !result.connBroken || r.options.Quarantine == nil {
 		return
 	}
-	r.options.Quarantine.Broke(watch.Server{
+	r.options.Quarantine.RecordBrokenAttempt(watch.Server{
 		Key: quarantine.ServerInstance(backend.KeyOf(server)), ID: server.ID, Service: server.Service, StartedMs: server.StartTimeMs,
 		Exited: func(ctx context.Context) bool { return r.options.Backend.Ended(ctx, server) },
 	}, quarantine.LostRequest{Digest: r.content, SentAt: sent}, result.serverRestarted, at)
--- a/internal/forward/version.go
+++ b/internal/forward/version.go
@@ -19,14 +19,14 @@
 		return
 	}
 	draw := float64(xxhash.Sum64String(versionSalt+r.call.ID)) / math.MaxUint64
-	r.candidate = r.options.RollOuts.Asked(r.call.Service, r.call.Route.Name, !r.call.Route.MayRepeat(), draw, time.Now())
+	r.candidate = r.options.RollOuts.AssignRequest(r.call.Service, r.call.Route.Name, !r.call.Route.MayRepeat(), draw, time.Now())
 }
 
 // chooseRetryVersion decides whether a retry goes to the candidate version. Retries use the
 // stable version unless all requests have moved to the candidate.
 func (r *run) chooseRetryVersion() {
 	if r.options.RollOuts != nil {
-		r.candidate = r.options.RollOuts.Moved(r.call.Service, time.Now())
+		r.candidate = r.options.RollOuts.FullyShifted(r.call.Service, time.Now())
 	}
 }
 
@@ -47,5 +47,5 @@
 	if choice.Calibrated {
 		answer.ExpectedLatency = choice.Wait
 	}
-	r.options.RollOuts.Answered(answer)
+	r.options.RollOuts.RecordAnswer(answer)
 }
--- a/internal/quarantine/watch/endings.go
+++ b/internal/quarantine/watch/endings.go
@@ -48,10 +48,10 @@
 	byServer map[quarantine.ServerInstance]*suspectedExit
 }
 
-// Broke notes that an attempt broke at a server, which is asked soon whether it has ended, or
+// RecordBrokenAttempt notes that an attempt broke at a server, which is asked soon whether it has ended, or
 // the connection alone. All attempts that break at a server are asked for once. certain is set
 // where the server is known to have ended.
-func (w *Watcher) Broke(server Server, lost quarantine.LostRequest, certain bool, at time.Time) {
+func (w *Watcher) RecordBrokenAttempt(server Server, lost quarantine.LostRequest, certain bool, at time.Time) {
 	w.probes.mu.Lock()
 	defer w.probes.mu.Unlock()
 	e := w.probes.byServer[server.Key]
--- a/internal/quarantine/watch/endings_test.go
+++ b/internal/quarantine/watch/endings_test.go
@@ -43,10 +43,10 @@
 		broke := time.Now()
 		for content := range quarantine.Digest(5) {
 			at := broke.Add(time.Duration(content) * time.Millisecond)
-			w.Broke(servers.server(1, "dead"), quarantine.LostRequest{Digest: content, SentAt: broke}, false, at)
+			w.RecordBrokenAttempt(servers.server(1, "dead"), quarantine.LostRequest{Digest: content, SentAt: broke}, false, at)
 		}
-		w.Broke(servers.server(2, "alive"), quarantine.LostRequest{Digest: 9, SentAt: broke}, false, broke)
-		w.Broke(servers.server(3, "again"), quarantine.LostRequest{Digest: 10, SentAt: broke}, true, broke)
+		w.RecordBrokenAttempt(servers.server(2, "alive"), quarantine.LostRequest{Digest: 9, SentAt: broke}, false, broke)
+		w.RecordBrokenAttempt(servers.server(3, "again"), quarantine.LostRequest{Digest: 10, SentAt: broke}, true, broke)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		told := map[quarantine.Digest]quarantine.ServerInstance{}
--- a/internal/quarantine/watch/watch.go
+++ b/internal/quarantine/watch/watch.go
@@ -52,17 +52,17 @@
 	return &Watcher{options: options, quarantine: quarantine.New(), probes: pendingProbes{byServer: map[quarantine.ServerInstance]*suspectedExit{}}}
 }
 
-// Barred reports whether a request is held back.
-func (w *Watcher) Barred(content quarantine.Digest, now time.Time) bool {
+// Blocked reports whether a request is held back.
+func (w *Watcher) Blocked(content quarantine.Digest, now time.Time) bool {
 	return w.quarantine.Blocked(content, now)
 }
 
-// Doubted reports whether a request whose attempt has broken should not go on to another
+// Suspected reports whether a request whose attempt has broken should not go on to another
 // server.
-func (w *Watcher) Doubted(content quarantine.Digest) bool { return w.quarantine.Suspected(content) }
+func (w *Watcher) Suspected(content quarantine.Digest) bool { return w.quarantine.Suspected(content) }
 
-// Answered notes that a server has run a request to the end.
-func (w *Watcher) Answered(content quarantine.Digest, now time.Time) {
+// RecordAnswer notes that a server has run a request to the end.
+func (w *Watcher) RecordAnswer(content quarantine.Digest, now time.Time) {
 	if w.quarantine.RecordAnswer(content, now) {
 		w.notifyPeers(now)
 	}
--- a/internal/rollout/board.go
+++ b/internal/rollout/board.go
@@ -193,9 +193,9 @@
 	return b.stable[service] != ""
 }
 
-// Asked counts a request for a service and returns whether it goes to the candidate. draw is
+// AssignRequest counts a request for a service and returns whether it goes to the candidate. draw is
 // uniform in [0, 1).
-func (b *Tracker) Asked(service, route string, once bool, draw float64, now time.Time) bool {
+func (b *Tracker) AssignRequest(service, route string, once bool, draw float64, now time.Time) bool {
 	if !b.Enabled() {
 		return false
 	}
@@ -215,16 +215,16 @@
 	return draw < b.routeShare(t, service, route, now)
 }
 
-// Moved reports whether all requests of a service go to the candidate.
-func (b *Tracker) Moved(service string, now time.Time) bool {
+// FullyShifted reports whether all requests of a service go to the candidate.
+func (b *Tracker) FullyShifted(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.rollouts[service]
 	return t != nil && t.servesCandidate(b.stable[service]) && t.requestedShare(now) >= 1
 }
 
-// Exposed counts a request that was sent to the candidate.
-func (b *Tracker) Exposed(service string) {
+// RecordExposure counts a request that was sent to the candidate.
+func (b *Tracker) RecordExposure(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sent := b.localTallies.Requests[service]
@@ -232,8 +232,8 @@
 	b.localTallies.Requests[service] = sent
 }
 
-// Answered takes over how a server answered.
-func (b *Tracker) Answered(a Answer) {
+// RecordAnswer takes over how a server answered.
+func (b *Tracker) RecordAnswer(a Answer) {
 	if !b.Enabled() {
 		return
 	}
--- a/internal/rollout/board_test.go
+++ b/internal/rollout/board_test.go
@@ -76,10 +76,10 @@
 	c := qt.New(t)
 	b := trackerWithStable()
 	b.Merge([]OrderStatus{{Order: testOrder("v2", 8), Step: Step{Share: 1, Fence: 3, Serial: 9}}}, 0, startTime)
-	c.Check(b.Moved("s", startTime), qt.IsTrue)
+	c.Check(b.FullyShifted("s", startTime), qt.IsTrue)
 	b.Merge([]OrderStatus{{Order: testOrder("v2", 8), Step: Step{Share: 0.25, Fence: 2, Serial: 99}}}, 0, startTime)
-	c.Check(b.Moved("s", startTime), qt.IsTrue, qt.Commentf("an earlier holder's word"))
-	c.Check(b.Moved("s", startTime.Add(stepTTL)), qt.IsFalse)
+	c.Check(b.FullyShifted("s", startTime), qt.IsTrue, qt.Commentf("an earlier holder's word"))
+	c.Check(b.FullyShifted("s", startTime.Add(stepTTL)), qt.IsFalse)
 	c.Check(b.Versions(startTime.Add(stepTTL))["s"].AllServers, qt.IsFalse)
 }
 
--- a/internal/rollout/play_test.go
+++ b/internal/rollout/play_test.go
@@ -129,8 +129,8 @@
 	for i, b := range p.trackers {
 		for n := range 40 {
 			route := simRoutes[(i+n)%len(simRoutes)]
-			b.Asked("s", route.name, route.nonIdempotent, 0.5, p.start.Add(-time.Second))
-			b.Answered(Answer{Service: "s", Route: route.name, Latency: p.randomLatency(route, 1)})
+			b.AssignRequest("s", route.name, route.nonIdempotent, 0.5, p.start.Add(-time.Second))
+			b.RecordAnswer(Answer{Service: "s", Route: route.name, Latency: p.randomLatency(route, 1)})
 		}
 	}
 	for p.age = 0; p.age < simDuration; p.age += simTick {
@@ -268,7 +268,7 @@
 // sendRequest plays one request at one daemon and reports whether the candidate got it.
 func (p *simulation) sendRequest(i int, route routeModel) bool {
 	b := p.trackers[i]
-	candidate := b.Asked("s", route.name, route.nonIdempotent, p.rng.Float64(), p.now())
+	candidate := b.AssignRequest("s", route.name, route.nonIdempotent, p.rng.Float64(), p.now())
 	p.result.requests++
 	answer := Answer{Service: "s", Route: route.name}
 	fails, slower := route.failureRate, 1.0
@@ -277,7 +277,7 @@
 	}
 	isBad := false
 	if candidate {
-		b.Exposed("s")
+		b.RecordExposure("s")
 		answer.Server = uint32(1 + p.rng.IntN(3))
 		v := p.model
 		if p.age >= v.activeFrom && (v.route == "" || v.route == route.name) && (!v.underLoad || p.candidateShare >= 0.5) {
@@ -295,7 +295,7 @@
 	}
 	answer.Failed = p.rng.Float64() < fails
 	answer.Latency = p.randomLatency(route, slower)
-	b.Answered(answer)
+	b.RecordAnswer(answer)
 	if candidate && (answer.Failed || isBad) {
 		p.badAnswersAt = append(p.badAnswersAt, p.age)
 	}
--- a/internal/router/keptuses.go
+++ b/internal/router/keptuses.go
@@ -53,7 +53,7 @@
 	for {
 		select {
 		case now := <-ticker.C:
-			if r.state.ownFence() != 0 || (peersOf{r}).Holder() {
+			if r.state.ownFence() != 0 || (peersOf{r}).HolderReachable() {
 				holderAt = now
 			}
 			if now.Sub(holderAt) >= keepUsesAfter && r.plan(now).Leader {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -380,8 +380,8 @@
 // peersOf tells the duties of the other daemons. It implements duty.Peers.
 type peersOf struct{ *Router }
 
-// Holder implements duty.Peers.
-func (p peersOf) Holder() bool {
+// HolderReachable implements duty.Peers.
+func (p peersOf) HolderReachable() bool {
 	now := time.Now()
 	for _, peer := range p.members.Reachable(now) {
 		if peer.Fence != 0 {
@@ -395,8 +395,8 @@
 // Rank implements duty.Peers.
 func (p peersOf) Rank() int { return p.plan(time.Now()).DutyRank }
 
-// AllHeard implements duty.Peers.
-func (p peersOf) AllHeard() bool {
+// AllReachable implements duty.Peers.
+func (p peersOf) AllReachable() bool {
 	_, complete := p.state.reach(time.Now())
 	return complete
 }
