--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -1,6 +1,6 @@
-// Package quarantine finds requests that end each backend server that runs them, and holds
-// them back. Such a request comes again with another ID, at any daemon, so that it is known
-// by its content. It does no I/O; the time is passed in.
+// Package quarantine detects poison requests, which terminate every backend server that runs
+// them, and blocks them. A poison request may be sent again with another ID to any daemon, so
+// it is identified by its content. The package does no I/O; the time is passed in.
 package quarantine
 
 import (
@@ -11,16 +11,16 @@
 	"io"
 )
 
-// Digest is a digest of what a request asks and for whom. Requests of the same content do
-// the same to a server.
+// Digest identifies the content of a request and the workspace that sent it. Requests with the
+// same digest have the same effect on a server.
 type Digest uint64
 
-// String returns the digest as logs show it.
-func (c Digest) String() string { return fmt.Sprintf("%016x", uint64(c)) }
+// String returns the digest in the form used in logs.
+func (d Digest) String() string { return fmt.Sprintf("%016x", uint64(d)) }
 
-// DigestOf returns the digest of a request. It is cut from a cryptographic one: nobody can
-// write a request that is taken for another one's. workspace is the caller's, whichever of
-// its keys was used; target is the path with the query.
+// DigestOf returns the digest of a request. It is a truncated cryptographic hash, so that no
+// caller can write a request that is taken for another one. workspace is the workspace of the
+// caller, whichever of its keys was used; target is the path with the query.
 func DigestOf(workspace, method, host, target string, body []byte) Digest {
 	digest := sha256.New()
 	for _, part := range []string{workspace, method, host, target} {
@@ -30,7 +30,8 @@
 	return Digest(binary.BigEndian.Uint64(digest.Sum(nil)))
 }
 
-// writeLengthPrefixed writes a part with its length, so that no two lists of parts read alike.
+// writeLengthPrefixed writes a part after its length, so that different lists of parts never
+// have the same encoding.
 func writeLengthPrefixed(digest hash.Hash, part string) {
 	_ = binary.Write(digest, binary.BigEndian, uint64(len(part)))
 	_, _ = io.WriteString(digest, part)
--- a/internal/quarantine/digest_test.go
+++ b/internal/quarantine/digest_test.go
@@ -6,8 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestDigestDistinguishesRequests: whatever differs makes another request, and where one part
-// ends and the next begins is no matter of chance.
+// TestDigestDistinguishesRequests guards against equal digests for requests that differ in any
+// part, or only in where one part ends and the next begins.
 func TestDigestDistinguishesRequests(t *testing.T) {
 	c := qt.New(t)
 	base := DigestOf("quarry", "POST", "h", "/a/x", []byte("body"))
--- a/internal/quarantine/evaluate.go
+++ b/internal/quarantine/evaluate.go
@@ -6,56 +6,58 @@
 	"time"
 )
 
-// Verdict is a request that is held back from now on, with what spoke against it.
+// Verdict describes a request that has just been blocked, with the evidence against it.
 type Verdict struct {
 	Digest Digest
-	// Servers is the number of servers that ended under it, Consecutive how often it was sent and
-	// its server ended before it was sent again, and Besides the number of servers that ended
-	// meanwhile for no request that is known.
+	// Servers is the number of servers that exited while they ran the request. Consecutive is
+	// how often it was sent and the server exited before it was sent again. UnrelatedExits is
+	// the number of servers that exited in the same period under no known request.
 	Servers, Consecutive, UnrelatedExits int
 }
 
-// Evaluate holds back the requests that all that is known speaks against, for as long as others
-// need to tell what they know. It returns them, and after how long to judge again where
-// something is still undecided, or zero.
+// Evaluate blocks the requests that have met the criteria for the settle time, in which the
+// reports of other daemons arrive. It returns the new blocks, and the time until the next
+// evaluation is due where a request is still settling, or zero.
 //
-// When a server ends, every request that it had may be the cause. One is held back when it was
-// sent and its server ended often enough in a row, no answer to it was ever whole, and other
-// requests do not account for that. Those that met as many servers or more, and those that are
-// held back already, account for the servers that they met: what was there by chance, or was
-// sent again because the servers of its earlier attempts had ended, met fewer than the cause.
-// Copies that were under way at once when a rack was lost or a zone reclaimed count once.
-func (q *Quarantine) Evaluate(now time.Time, settle time.Duration) (held []Verdict, again time.Duration) {
+// When a server exits, each request that it was running may be the cause. A request is blocked
+// when enough consecutive sends ended with the exit of the server, no complete answer to it is
+// known, and other requests do not explain these exits. Requests that lost at least as many
+// servers, and requests already blocked, explain the exits of their servers. Requests that were
+// there by chance, or that were retried because the servers of earlier attempts had exited,
+// lost fewer servers than the cause. Copies in flight at once when a rack is lost or a zone is
+// reclaimed count once.
+func (q *Quarantine) Evaluate(now time.Time, settle time.Duration) (blocked []Verdict, retryIn time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	charges := q.findSuspects(now)
-	if len(charges) == 0 {
+	suspects := q.findSuspects(now)
+	if len(suspects) == 0 {
 		return nil, 0
 	}
-	accounted := q.explainedExits(now)
-	for i, c := range charges {
-		r := q.records[c.digest]
-		r.suspectedSince = conditionSince(r.suspectedSince, q.possibleCause(i, charges), now)
-		verdict := q.evaluateSuspect(i, charges, accounted)
+	explained := q.explainedExits(now)
+	for i, s := range suspects {
+		r := q.records[s.digest]
+		r.suspectedSince = conditionSince(r.suspectedSince, q.possibleCause(i, suspects), now)
+		verdict := q.evaluateSuspect(i, suspects, explained)
 		r.blockPendingSince = conditionSince(r.blockPendingSince, verdict != nil, now)
 		if verdict == nil {
 			continue
 		}
 		if left := r.settleTime(settle) - now.Sub(r.blockPendingSince); left > 0 {
-			again = left
+			retryIn = left
 			continue
 		}
 		r.blockedAt = now
 		q.recordChange(r, now)
-		held = append(held, *verdict)
+		blocked = append(blocked, *verdict)
 	}
-	return held, again
+	return blocked, retryIn
 }
 
-// conditionSince returns since when something holds, which may have begun now, or zero.
-func conditionSince(before time.Time, holds bool, now time.Time) time.Time {
+// conditionSince returns the time since which a condition has been met without interruption, or
+// zero while it is not met.
+func conditionSince(before time.Time, met bool, now time.Time) time.Time {
 	switch {
-	case !holds:
+	case !met:
 		return time.Time{}
 	case before.IsZero():
 		return now
@@ -63,14 +65,13 @@
 	return before
 }
 
-// resettleFraction is the part of the time for others to tell that is left to them where they have
-// had all of it before, and one server more has told the cause from what could not be told
-// from it. With all of it, two such requests at once reached servers four times too late in 4
-// of 540 plays of whole daemons.
+// resettleFraction is the fraction of the settle time that applies where a request was
+// suspected for the full settle time before, and one more exit has distinguished it from the
+// other suspects. With the full time, two poison requests at once reached servers four times
+// too late in 4 of 540 simulations of whole daemons.
 const resettleFraction = 1.0 / 3
 
-// settleTime returns how long others have to tell what they know once all speaks against the
-// request.
+// settleTime returns how long a request must meet the criteria before it is blocked.
 func (r *record) settleTime(settle time.Duration) time.Duration {
 	if r.blockPendingSince.Sub(r.suspectedSince) >= settle {
 		return time.Duration(resettleFraction * float64(settle))
@@ -78,38 +79,39 @@
 	return settle
 }
 
-// suspect is a request with the servers that ended under it, in the order in which they ended.
+// suspect is a request with the servers that exited while they ran it, in the order of their
+// exits.
 type suspect struct {
 	digest  Digest
 	servers []ServerInstance
 }
 
-// findSuspects returns what speaks against the requests that may have to be held back, those of
+// findSuspects returns the requests with enough exits to be considered for a block, those with
 // the most servers first.
 func (q *Quarantine) findSuspects(now time.Time) []suspect {
-	var charges []suspect
-	for content, r := range q.records {
+	var suspects []suspect
+	for digest, r := range q.records {
 		if len(r.exits) < minConsecutiveExits || r.blocked(now) || r.recentlyAnswered(now) {
 			continue
 		}
-		c := suspect{digest: content}
+		s := suspect{digest: digest}
 		for server := range r.exits {
 			if q.exitedAt[server].After(r.answeredAt) {
-				c.servers = append(c.servers, server)
+				s.servers = append(s.servers, server)
 			}
 		}
-		if len(c.servers) >= minConsecutiveExits {
-			slices.SortFunc(c.servers, func(a, b ServerInstance) int { return q.exitedAt[a].Compare(q.exitedAt[b]) })
-			charges = append(charges, c)
+		if len(s.servers) >= minConsecutiveExits {
+			slices.SortFunc(s.servers, func(a, b ServerInstance) int { return q.exitedAt[a].Compare(q.exitedAt[b]) })
+			suspects = append(suspects, s)
 		}
 	}
-	slices.SortFunc(charges, func(a, b suspect) int {
+	slices.SortFunc(suspects, func(a, b suspect) int {
 		return cmp.Or(cmp.Compare(len(b.servers), len(a.servers)), cmp.Compare(a.digest, b.digest))
 	})
-	return charges[:min(len(charges), maxSuspects)]
+	return suspects[:min(len(suspects), maxSuspects)]
 }
 
-// explainedExits returns the servers that ended under requests which are held back.
+// explainedExits returns the servers that exited under blocked requests.
 func (q *Quarantine) explainedExits(now time.Time) map[ServerInstance]bool {
 	servers := map[ServerInstance]bool{}
 	for _, r := range q.records {
@@ -122,54 +124,56 @@
 	return servers
 }
 
-// evaluateSuspect returns the verdict on a request, or nil while it is not held back.
-func (q *Quarantine) evaluateSuspect(self int, charges []suspect, accounted map[ServerInstance]bool) *Verdict {
-	c := charges[self]
-	alone := 0
-	for _, server := range c.servers {
-		if !accounted[server] && !c.sharedWithStrongerSuspect(server, self, charges) {
-			alone++
+// evaluateSuspect returns the verdict on a request, or nil while it does not meet the criteria.
+func (q *Quarantine) evaluateSuspect(index int, suspects []suspect, explained map[ServerInstance]bool) *Verdict {
+	s := suspects[index]
+	exclusive := 0
+	for _, server := range s.servers {
+		if !explained[server] && !s.sharedWithStrongerSuspect(server, index, suspects) {
+			exclusive++
 		}
 	}
-	verdict := Verdict{Digest: c.digest, Servers: len(c.servers), Consecutive: q.consecutiveExits(c), UnrelatedExits: q.unrelatedExits(c, charges, accounted)}
-	needed := minConsecutiveExits
-	if verdict.UnrelatedExits >= verdict.Servers || alone < verdict.Servers {
-		needed = minConsecutiveExitsAmbiguous
+	verdict := Verdict{Digest: s.digest, Servers: len(s.servers), Consecutive: q.consecutiveExits(s), UnrelatedExits: q.unrelatedExits(s, suspects, explained)}
+	required := minConsecutiveExits
+	if verdict.UnrelatedExits >= verdict.Servers || exclusive < verdict.Servers {
+		required = minConsecutiveExitsAmbiguous
 	}
-	if verdict.Consecutive < needed || alone < minExclusiveExits {
+	if verdict.Consecutive < required || exclusive < minExclusiveExits {
 		return nil
 	}
 	return &verdict
 }
 
-// possibleCause reports whether a request may be the cause, as far as others do not account for it
-// for sure.
-func (q *Quarantine) possibleCause(self int, charges []suspect) bool {
-	c := charges[self]
-	for _, other := range charges {
-		if len(other.servers) > len(c.servers) && slices.ContainsFunc(c.servers, func(s ServerInstance) bool { return slices.Contains(other.servers, s) }) {
+// possibleCause reports whether a request may be the cause: it has enough consecutive exits,
+// and no suspect with more exits shares a server with it.
+func (q *Quarantine) possibleCause(index int, suspects []suspect) bool {
+	s := suspects[index]
+	for _, other := range suspects {
+		if len(other.servers) > len(s.servers) && slices.ContainsFunc(s.servers, func(server ServerInstance) bool { return slices.Contains(other.servers, server) }) {
 			return false
 		}
 	}
-	return q.consecutiveExits(c) >= minConsecutiveExits
+	return q.consecutiveExits(s) >= minConsecutiveExits
 }
 
-// sharedWithStrongerSuspect reports whether another request that met as many servers met this one.
-func (c suspect) sharedWithStrongerSuspect(server ServerInstance, self int, charges []suspect) bool {
-	for i, other := range charges {
-		if i != self && len(other.servers) >= len(c.servers) && slices.Contains(other.servers, server) {
+// sharedWithStrongerSuspect reports whether another suspect with at least as many exits also
+// ran on the server when it exited.
+func (s suspect) sharedWithStrongerSuspect(server ServerInstance, index int, suspects []suspect) bool {
+	for i, other := range suspects {
+		if i != index && len(other.servers) >= len(s.servers) && slices.Contains(other.servers, server) {
 			return true
 		}
 	}
 	return false
 }
 
-// consecutiveExits returns how often the request was sent and its server ended before it was sent again.
-func (q *Quarantine) consecutiveExits(c suspect) int {
+// consecutiveExits returns how often the request was sent and the server exited before the
+// request was sent again.
+func (q *Quarantine) consecutiveExits(s suspect) int {
 	count := 0
 	var last time.Time
-	for _, server := range c.servers {
-		if count == 0 || !q.records[c.digest].exits[server].Before(last) {
+	for _, server := range s.servers {
+		if count == 0 || !q.records[s.digest].exits[server].Before(last) {
 			count++
 			last = q.exitedAt[server]
 		}
@@ -177,14 +181,14 @@
 	return count
 }
 
-// unrelatedExits returns the number of servers that ended without the request, and for no other
-// request that is known, between the first and the last that ended with it.
-func (q *Quarantine) unrelatedExits(c suspect, charges []suspect, accounted map[ServerInstance]bool) int {
-	first, last := q.exitedAt[c.servers[0]], q.exitedAt[c.servers[len(c.servers)-1]]
+// unrelatedExits returns the number of servers that exited between the first and the last exit
+// of the request, but under no blocked request and no suspect.
+func (q *Quarantine) unrelatedExits(s suspect, suspects []suspect, explained map[ServerInstance]bool) int {
+	first, last := q.exitedAt[s.servers[0]], q.exitedAt[s.servers[len(s.servers)-1]]
 	count := 0
 	for server, at := range q.exitedAt {
 		during := !at.Before(first) && !at.After(last)
-		if during && !accounted[server] && !slices.ContainsFunc(charges, func(o suspect) bool { return slices.Contains(o.servers, server) }) {
+		if during && !explained[server] && !slices.ContainsFunc(suspects, func(other suspect) bool { return slices.Contains(other.servers, server) }) {
 			count++
 		}
 	}
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -11,113 +11,119 @@
 )
 
 const (
-	// minConsecutiveExits is the number of times in a row that a request was sent and its server ended
-	// until it is held back. An innocent request meets two by the two attempts of a call, and
-	// the bound on what a request may reach counts from the third server.
+	// minConsecutiveExits is how many consecutive sends of a request must end with the exit of
+	// the server before the request is blocked. The two attempts of one call can make a
+	// harmless request lose two servers. The limit on the servers that a poison request may
+	// reach counts from the third.
 	minConsecutiveExits = 3
-	// minConsecutiveExitsAmbiguous takes its place where as many servers ended without the request meanwhile,
-	// or other requests account for some: a service that loses servers all the time loses
-	// three under some request by chance.
+	// minConsecutiveExitsAmbiguous replaces minConsecutiveExits where at least as many servers
+	// exited without the request in the same period, or where other requests explain some of
+	// its exits. A service that keeps losing servers loses three under the same request by
+	// chance.
 	minConsecutiveExitsAmbiguous = 4
-	// minExclusiveExits is the number of servers that no other request accounts for. With three, the
-	// second of two requests that end servers was held back after up to five more in plays of
-	// both at once (20 seeds, 8 daemons); with two, one of five at once reached servers three
-	// times or more too late in 18 of 1,000, with one in 10 of 1,465 (8 daemons, 9 servers).
+	// minExclusiveExits is the number of exits that no other request explains. With 3, the
+	// second of two poison requests was blocked after up to five more servers in simulations of
+	// both at once (20 seeds, 8 daemons). With 2, one of five poison requests at once reached
+	// servers three or more times too late in 18 of 1,000 simulations, with 1 in 10 of 1,465 (8
+	// daemons, 9 servers).
 	minExclusiveExits = 1
-	// answerTrustDuration is how long a request counts as harmless after an answer to it was whole.
-	// What many callers ask for at once is answered more often than that.
+	// answerTrustDuration is how long a complete answer marks a request as harmless. A request
+	// that many callers send is answered more often than that.
 	answerTrustDuration = time.Minute
-	// exitRetention is how long it is remembered that a server ended under a request.
+	// exitRetention is how long the exit of a server under a request is stored.
 	exitRetention = 10 * time.Minute
-	// blockDuration is how long a request is held back: by then the fault of the server may be
-	// mended. If it is not, three more servers end.
+	// blockDuration is how long a request stays blocked. By then the fault in the server may be
+	// fixed. If it is not, the request terminates three more servers.
 	blockDuration = 30 * time.Minute
-	// maxRecords and maxExitedServers bound the requests and servers that are remembered; maxExitsPerRequest
-	// the servers of one request. A rack of 40 servers leaves some 1,000 requests.
+	// maxRecords and maxExitedServers bound the stored requests and servers, and
+	// maxExitsPerRequest the servers of one request. The loss of a rack of 40 servers leaves
+	// about 1,000 requests.
 	maxRecords         = 4096
 	maxExitedServers   = 1024
 	maxExitsPerRequest = 64
-	// maxAnsweredRequests is the number of answered requests that are remembered: those of five
-	// minutes at 27 requests a second, in about 600 KB.
+	// maxAnsweredRequests bounds the stored digests of answered requests. It covers five
+	// minutes at 27 requests a second and takes about 600 KB.
 	maxAnsweredRequests = 8192
-	// maxSuspects bounds the requests that are weighed against each other at once.
+	// maxSuspects bounds the requests that are compared with each other in one evaluation.
 	maxSuspects = 64
 )
 
-// ServerInstance names one start of a backend server.
+// ServerInstance identifies one start (incarnation) of a backend server.
 type ServerInstance uint32
 
-// record is what is known of a request.
+// record holds the exits and answers known for one request.
 type record struct {
-	// exits are the servers that ended while they had it, with when it was last sent there.
+	// exits maps each server that exited while it ran the request to the time at which the
+	// request was last sent there.
 	exits map[ServerInstance]time.Time
-	// changedAt is when something was last learned of it, answeredAt when an answer to it was
-	// last whole, at any daemon, as far as that is known.
+	// changedAt is the time of the last change to the record. answeredAt is the time of the
+	// last complete answer known from any daemon.
 	changedAt, answeredAt time.Time
-	// blockPendingSince is since when all that is known speaks against it, blockedAt since when it
-	// is held back.
+	// blockPendingSince is when the request first met the criteria for a block without
+	// interruption, blockedAt when it was blocked. Both are zero where that does not apply.
 	blockPendingSince, blockedAt time.Time
-	// suspectedSince is since when it was sent and its server ended often enough in a row, and
-	// no request met more servers: the cause, or one that cannot be told from it yet.
+	// suspectedSince is when the request reached minConsecutiveExits while no request that
+	// shares a server with it had lost more servers. It is the cause, or not yet
+	// distinguishable from it.
 	suspectedSince time.Time
 }
 
-// Quarantine is what a daemon knows of requests under which servers have ended. It may be
-// used by several goroutines.
+// Quarantine holds what a daemon knows about requests under which servers have exited. It is
+// safe for concurrent use.
 type Quarantine struct {
 	mu      sync.Mutex
 	records map[Digest]*record
-	// exitedAt are the servers that have ended, with when.
+	// exitedAt holds the exit time of each server.
 	exitedAt map[ServerInstance]time.Time
-	// answered are requests that this daemon has seen answered, with when.
+	// answered holds when this daemon last saw each request answered.
 	answered *simplelru.LRU[Digest, time.Time]
-	// prunedAt is when records to forget were last looked for.
+	// prunedAt is when prune last scanned the records.
 	prunedAt time.Time
-	// changeCount counts what was learned.
+	// changeCount is the number of changes that peers should receive.
 	changeCount int
 }
 
-// New returns a quarantine that holds nothing back.
+// New returns a Quarantine that blocks no request.
 func New() *Quarantine {
 	answered, err := simplelru.NewLRU[Digest, time.Time](maxAnsweredRequests, nil)
 	if err != nil {
-		// The size is not positive.
+		// NewLRU fails only for a size that is not positive.
 		panic(err)
 	}
 	return &Quarantine{records: map[Digest]*record{}, exitedAt: map[ServerInstance]time.Time{}, answered: answered}
 }
 
-// Blocked reports whether a request is held back.
-func (q *Quarantine) Blocked(content Digest, now time.Time) bool {
+// Blocked reports whether a request is blocked.
+func (q *Quarantine) Blocked(digest Digest, now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	r := q.records[content]
+	r := q.records[digest]
 	return r != nil && r.blocked(now)
 }
 
-// Suspected reports whether a request whose attempt has broken should not go on to another
-// server: it may be the cause, whatever others may still tell.
-func (q *Quarantine) Suspected(content Digest) bool {
+// Suspected reports whether a request whose attempt failed must not be retried at another
+// server, because it may be the cause. Reports still under way from peers are not waited for.
+func (q *Quarantine) Suspected(digest Digest) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	r := q.records[content]
+	r := q.records[digest]
 	return r != nil && !r.suspectedSince.IsZero()
 }
 
-// ChangeCount returns a number that grows with all that others should know.
+// ChangeCount returns a counter that increases with each change that peers should receive.
 func (q *Quarantine) ChangeCount() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.changeCount
 }
 
-// recordChange notes that something was learned of a request.
+// recordChange marks a record as changed at now.
 func (q *Quarantine) recordChange(r *record, now time.Time) {
 	r.changedAt = now
 	q.changeCount++
 }
 
-// BlockedCount returns the number of contents that are held back.
+// BlockedCount returns the number of digests that are blocked.
 func (q *Quarantine) BlockedCount(now time.Time) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -130,89 +136,91 @@
 	return count
 }
 
-// RecordAnswer notes that a server has run a request to the end: its content ends no servers. It
-// reports whether others should hear of it.
-func (q *Quarantine) RecordAnswer(content Digest, now time.Time) (matters bool) {
+// RecordAnswer records that a server completed a request, which proves the request harmless. It
+// reports whether the answer should be sent to peers at once.
+func (q *Quarantine) RecordAnswer(digest Digest, now time.Time) (propagate bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.answered.Add(content, now)
-	r := q.records[content]
+	q.answered.Add(digest, now)
+	r := q.records[digest]
 	if r == nil {
 		return false
 	}
-	// Once a second is enough for others.
-	matters = len(r.exits) > 0 && now.Sub(r.answeredAt) >= time.Second
-	if matters {
+	// Peers need at most one update a second.
+	propagate = len(r.exits) > 0 && now.Sub(r.answeredAt) >= time.Second
+	if propagate {
 		q.recordChange(r, now)
 	}
 	r.applyAnswer(now)
-	return matters
+	return propagate
 }
 
-// applyAnswer takes over that an answer was whole: whatever spoke against the request does so no
-// more.
+// applyAnswer records a complete answer and clears all suspicion against the request.
 func (r *record) applyAnswer(at time.Time) {
 	r.answeredAt, r.blockPendingSince, r.blockedAt, r.suspectedSince = at, time.Time{}, time.Time{}, time.Time{}
 }
 
-// LostRequest is a request that a server had when it ended, with when it was sent there.
+// LostRequest is a request that a server was running when it exited, with the time at which it
+// was sent there.
 type LostRequest struct {
 	Digest Digest
 	SentAt time.Time
 }
 
-// RecordExit notes that a server has ended while it had some requests. It reports whether others
-// should hear of it at once: one of them has met that before.
-func (q *Quarantine) RecordExit(server ServerInstance, lost []LostRequest, at, now time.Time) (matters bool) {
+// RecordExit records that a server exited while it ran the lost requests. It reports whether
+// peers should be notified at once: one of the requests had lost a server before.
+func (q *Quarantine) RecordExit(server ServerInstance, lost []LostRequest, at, now time.Time) (propagate bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.recordExitTime(server, at)
 	for _, l := range lost {
-		matters = q.recordRequestExit(l.Digest, server, l.SentAt, now) || matters
+		propagate = q.recordRequestExit(l.Digest, server, l.SentAt, now) || propagate
 	}
 	q.prune(now)
-	return matters
+	return propagate
 }
 
+// recordExitTime keeps the earliest known exit time of a server.
 func (q *Quarantine) recordExitTime(server ServerInstance, at time.Time) {
 	if known, ok := q.exitedAt[server]; !ok || at.Before(known) {
 		q.exitedAt[server] = at
 	}
 }
 
-// recordRequestExit notes that a server ended under a request that was sent there at a time. It
-// reports whether that is new and not the first one.
-func (q *Quarantine) recordRequestExit(content Digest, server ServerInstance, sent, now time.Time) (again bool) {
-	r := q.getOrCreateRecord(content)
+// recordRequestExit records that a server exited while it ran a request sent there at sentAt.
+// It reports whether the exit is new and not the first one of the request.
+func (q *Quarantine) recordRequestExit(digest Digest, server ServerInstance, sentAt, now time.Time) (repeated bool) {
+	r := q.getOrCreateRecord(digest)
 	known, met := r.exits[server]
 	switch {
 	case met:
-		// Others' clocks and ways differ by milliseconds, which is nothing new.
-		if sent.After(known) {
-			r.exits[server] = sent
+		// Clocks and network delays differ by milliseconds between daemons, so a later send
+		// time alone is not a change.
+		if sentAt.After(known) {
+			r.exits[server] = sentAt
 		}
 		return false
 	case len(r.exits) >= maxExitsPerRequest:
 		return false
 	}
-	r.exits[server] = sent
+	r.exits[server] = sentAt
 	q.recordChange(r, now)
 	return len(r.exits) > 1
 }
 
-// getOrCreateRecord returns what is known of a request. Whether it was answered before is looked up when
-// it first matters.
-func (q *Quarantine) getOrCreateRecord(content Digest) *record {
-	r := q.records[content]
+// getOrCreateRecord returns the record of a request. A new record takes the time of an earlier
+// answer from the LRU.
+func (q *Quarantine) getOrCreateRecord(digest Digest) *record {
+	r := q.records[digest]
 	if r == nil {
 		r = &record{exits: map[ServerInstance]time.Time{}}
-		r.answeredAt, _ = q.answered.Peek(content)
-		q.records[content] = r
+		r.answeredAt, _ = q.answered.Peek(digest)
+		q.records[digest] = r
 	}
 	return r
 }
 
-// recentlyAnswered reports whether an answer was whole lately.
+// recentlyAnswered reports whether a complete answer came within answerTrustDuration.
 func (r *record) recentlyAnswered(now time.Time) bool {
 	return !r.answeredAt.IsZero() && now.Sub(r.answeredAt) < answerTrustDuration
 }
@@ -221,32 +229,33 @@
 	return !r.blockedAt.IsZero() && now.Sub(r.blockedAt) < blockDuration && !r.recentlyAnswered(now)
 }
 
-// pruneInterval is the time between two walks over all records: a lead hears 275 reports a second.
+// pruneInterval is the least time between two scans of all records, because a lead receives 275
+// reports a second.
 const pruneInterval = time.Second
 
-// prune forgets what is old, and of what is too much the oldest of what is known least of.
+// prune deletes expired entries, then the lowest-priority entries above the size limits.
 func (q *Quarantine) prune(now time.Time) {
 	if now.Sub(q.prunedAt) < pruneInterval && len(q.records) <= maxRecords && len(q.exitedAt) <= maxExitedServers {
 		return
 	}
 	q.prunedAt = now
 	maps.DeleteFunc(q.exitedAt, func(_ ServerInstance, at time.Time) bool { return now.Sub(at) >= exitRetention })
-	for content, r := range q.records {
+	for digest, r := range q.records {
 		maps.DeleteFunc(r.exits, func(s ServerInstance, _ time.Time) bool { _, kept := q.exitedAt[s]; return !kept })
 		if len(r.exits) == 0 && !r.blocked(now) && !r.recentlyAnswered(now) {
-			delete(q.records, content)
+			delete(q.records, digest)
 		}
 	}
 	q.shrink(now)
 }
 
-// shrink keeps the numbers of records and servers within their bounds. An eighth goes at a
-// time, so that it is seldom due.
+// shrink enforces the limits on records and servers. It removes an eighth at a time so that it
+// seldom has to run.
 func (q *Quarantine) shrink(now time.Time) {
 	if len(q.records) > maxRecords {
 		least := slices.SortedFunc(maps.Keys(q.records), func(a, b Digest) int { return q.records[a].comparePriority(q.records[b], now) })
-		for _, content := range least[:len(least)-maxRecords*7/8] {
-			delete(q.records, content)
+		for _, digest := range least[:len(least)-maxRecords*7/8] {
+			delete(q.records, digest)
 		}
 	}
 	if len(q.exitedAt) > maxExitedServers {
@@ -257,7 +266,8 @@
 	}
 }
 
-// comparePriority orders records by how much they matter, the least first.
+// comparePriority orders records by ascending priority: blocked ones last, then by the number
+// of exits, then by the last change.
 func (r *record) comparePriority(other *record, now time.Time) int {
 	return cmp.Or(
 		cmp.Compare(boolRank(r.blocked(now)), boolRank(other.blocked(now))),
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -11,31 +11,33 @@
 
 const settleDelay = 400 * time.Millisecond
 
-// at returns a time of a test.
+// at returns the time that many seconds after start.
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// exitServer lets a server end under some requests, each sent a tenth of a second before.
-func exitServer(q *Quarantine, server ServerInstance, seconds float64, contents ...Digest) {
+// exitServer records the exit of a server under requests that were each sent 0.1 s before.
+func exitServer(q *Quarantine, server ServerInstance, seconds float64, digests ...Digest) {
 	var lost []LostRequest
-	for _, content := range contents {
-		lost = append(lost, LostRequest{Digest: content, SentAt: at(seconds - 0.1)})
+	for _, digest := range digests {
+		lost = append(lost, LostRequest{Digest: digest, SentAt: at(seconds - 0.1)})
 	}
 	q.RecordExit(server, lost, at(seconds), at(seconds))
 }
 
-// blockedAfterSettling returns what is held back after all that is known has settled.
+// blockedAfterSettling evaluates twice, settleDelay apart, and returns the digests blocked
+// then.
 func blockedAfterSettling(q *Quarantine, seconds float64) []Digest {
 	q.Evaluate(at(seconds), settleDelay)
-	held, _ := q.Evaluate(at(seconds).Add(settleDelay), settleDelay)
-	var contents []Digest
-	for _, v := range held {
-		contents = append(contents, v.Digest)
+	blocked, _ := q.Evaluate(at(seconds).Add(settleDelay), settleDelay)
+	var digests []Digest
+	for _, verdict := range blocked {
+		digests = append(digests, verdict.Digest)
 	}
-	return contents
+	return digests
 }
 
-// TestThreeServersInARow: a request is held back when it was sent three times and each time
-// its server ended, and not before others had the time to tell what they know.
+// TestThreeServersInARow checks that a request is blocked after three consecutive sends that
+// each ended with the exit of the server, but not before the settle time for other daemons'
+// reports.
 func TestThreeServersInARow(t *testing.T) {
 	c := qt.New(t)
 	q := New()
@@ -43,9 +45,9 @@
 	exitServer(q, 2, 2, 7)
 	c.Check(blockedAfterSettling(q, 2), qt.HasLen, 0)
 	exitServer(q, 3, 3, 7)
-	held, again := q.Evaluate(at(3), settleDelay)
-	c.Check(held, qt.HasLen, 0)
-	c.Check(again, qt.Equals, settleDelay)
+	blocked, retryIn := q.Evaluate(at(3), settleDelay)
+	c.Check(blocked, qt.HasLen, 0)
+	c.Check(retryIn, qt.Equals, settleDelay)
 	c.Check(q.Blocked(7, at(3)), qt.IsFalse)
 	c.Check(q.Suspected(7), qt.IsTrue)
 	c.Check(blockedAfterSettling(q, 3.1), qt.DeepEquals, []Digest{7})
@@ -54,8 +56,8 @@
 	c.Check(q.Blocked(7, at(5).Add(blockDuration)), qt.IsFalse)
 }
 
-// TestCopiesAtOnceCountOnce: many callers ask the same when a rack is lost, and again when
-// the next one is.
+// TestCopiesAtOnceCountOnce guards against blocking a request that many callers send at once,
+// when one rack is lost and then another. Concurrent copies count as one send.
 func TestCopiesAtOnceCountOnce(t *testing.T) {
 	c := qt.New(t)
 	q := New()
@@ -68,7 +70,8 @@
 	c.Check(blockedAfterSettling(q, 6), qt.HasLen, 0)
 }
 
-// TestAnsweredRequestIsNeverTheCause: at whichever daemon, before or after servers ended.
+// TestAnsweredRequestIsNeverTheCause checks that a request answered at any daemon is not
+// blocked, whether the answer came before, between or after the exits.
 func TestAnsweredRequestIsNeverTheCause(t *testing.T) {
 	for name, answered := range map[string]float64{"before": 0.5, "between": 2.5, "after": 3.2} {
 		t.Run(name, func(t *testing.T) {
@@ -79,7 +82,7 @@
 				exitServer(q, ServerInstance(i), float64(i+1), 7)
 			}
 			q.Evaluate(at(3), settleDelay)
-			// What the other daemon hears makes it tell what it knows.
+			// The reports from q make the other daemon send its answer.
 			other.Merge(q.Reports(at(3.3)), 0, at(3.3))
 			q.Merge(other.Reports(at(3.3)), 0, at(3.3))
 			c.Check(blockedAfterSettling(q, 3.5), qt.HasLen, 0)
@@ -88,7 +91,8 @@
 	}
 }
 
-// TestAnswerUnblocksRequest: everywhere, and for good.
+// TestAnswerUnblocksRequest checks that an answer to a blocked request unblocks it for good at
+// all daemons.
 func TestAnswerUnblocksRequest(t *testing.T) {
 	c := qt.New(t)
 	q, other := New(), New()
@@ -98,7 +102,7 @@
 	c.Check(blockedAfterSettling(q, 3), qt.HasLen, 1)
 	other.Merge(q.Reports(at(4)), 0, at(4))
 	c.Check(other.Blocked(7, at(4)), qt.IsTrue)
-	// One that was under way ends well.
+	// A copy that was in flight before the block completes.
 	c.Check(other.RecordAnswer(7, at(5)), qt.IsTrue)
 	q.Merge(other.Reports(at(5)), 0, at(5))
 	other.Merge(q.Reports(at(5)), 0, at(5))
@@ -108,28 +112,29 @@
 	}
 }
 
-// TestWhoWasThereIsNotHeldBack: requests whose servers ended under another one, with the two
-// attempts of each of two calls.
+// TestWhoWasThereIsNotHeldBack guards against blocking harmless requests whose servers exited
+// under a poison request. The poison request comes in two calls of two attempts each.
 func TestWhoWasThereIsNotHeldBack(t *testing.T) {
 	c := qt.New(t)
 	q := New()
 	exitServer(q, 1, 1.0, 7, 20, 21, 22)
 	exitServer(q, 2, 1.2, 7, 20, 23)
 	exitServer(q, 3, 1.4, 7, 20, 21)
-	// The cause and one that met the same three cannot be told apart yet.
+	// The poison request and one that lost the same three servers cannot be distinguished yet.
 	c.Check(blockedAfterSettling(q, 1.5), qt.HasLen, 0)
 	c.Check(q.Suspected(7) && q.Suspected(20), qt.IsTrue)
 	c.Check(q.Suspected(21), qt.IsFalse)
 	exitServer(q, 4, 2.0, 7, 21, 30)
 	exitServer(q, 5, 2.3, 7, 21, 20)
 	c.Check(blockedAfterSettling(q, 2.4), qt.DeepEquals, []Digest{7})
-	for _, innocent := range []Digest{20, 21, 22, 23, 30} {
-		c.Check(q.Blocked(innocent, at(3)) || q.Suspected(innocent), qt.IsFalse)
+	for _, harmless := range []Digest{20, 21, 22, 23, 30} {
+		c.Check(q.Blocked(harmless, at(3)) || q.Suspected(harmless), qt.IsFalse)
 	}
 	c.Check(blockedAfterSettling(q, 4), qt.HasLen, 0)
 }
 
-// TestUnrelatedExitsRaiseThreshold: where as many servers end without the request, one more is needed.
+// TestUnrelatedExitsRaiseThreshold checks that a request needs one more exit where as many
+// servers exit without it.
 func TestUnrelatedExitsRaiseThreshold(t *testing.T) {
 	c := qt.New(t)
 	q := New()
@@ -143,8 +148,8 @@
 	c.Check(blockedAfterSettling(q, 4), qt.DeepEquals, []Digest{7})
 }
 
-// TestWordsAddUp: three daemons that saw one server each agree, in whichever order they hear
-// of each other and however often.
+// TestWordsAddUp checks that three daemons that each saw one exit reach the same result,
+// whatever the order of the reports and however often they are merged.
 func TestWordsAddUp(t *testing.T) {
 	c := qt.New(t)
 	daemons := []*Quarantine{New(), New(), New()}
@@ -164,16 +169,17 @@
 	}
 }
 
-// TestInvalidReportsAreBounded: whatever stands in the store in place of a daemon's words, nothing is
-// yet to come, and few words are taken at once.
+// TestInvalidReportsAreBounded guards against reports from other writers of the store object:
+// negative ages do not put events into the future, and only maxReports reports are merged at
+// once.
 func TestInvalidReportsAreBounded(t *testing.T) {
 	c := qt.New(t)
 	q := New()
-	var words []Report
+	var reports []Report
 	for i := range 1000 {
-		words = append(words, Report{Digest: Digest(i), Exits: []ServerExit{{Server: ServerInstance(i), Age: -time.Hour, SentBefore: -time.Hour}}, Answered: true, AnsweredAge: -time.Hour})
+		reports = append(reports, Report{Digest: Digest(i), Exits: []ServerExit{{Server: ServerInstance(i), Age: -time.Hour, SentBefore: -time.Hour}}, Answered: true, AnsweredAge: -time.Hour})
 	}
-	q.Merge(words, 0, at(1))
+	q.Merge(reports, 0, at(1))
 	c.Check(len(q.records) <= maxReports, qt.IsTrue)
 	for _, ended := range q.exitedAt {
 		c.Check(ended, qt.Equals, at(1))
@@ -183,8 +189,8 @@
 	}
 }
 
-// TestMemoryOutlivesAllDaemons: what is held back stays so, and what two servers have ended
-// under needs one more, though nobody is left who saw it.
+// TestMemoryOutlivesAllDaemons checks that a daemon that starts from the snapshot alone keeps
+// blocks, and needs only one more exit for a request that lost two servers before.
 func TestMemoryOutlivesAllDaemons(t *testing.T) {
 	c := qt.New(t)
 	q := New()
@@ -194,17 +200,17 @@
 	c.Check(blockedAfterSettling(q, 3), qt.HasLen, 1)
 	exitServer(q, 10, 5, 8, 30)
 	exitServer(q, 11, 6, 8, 31)
-	kept := q.Snapshot(at(7))
-	started := New()
-	started.Merge(kept, 2*time.Second, at(9))
-	c.Check(started.Blocked(7, at(9)), qt.IsTrue)
-	exitServer(started, 12, 10, 8)
-	c.Check(blockedAfterSettling(started, 10), qt.DeepEquals, []Digest{8})
-	c.Check(started.records[30], qt.IsNil)
+	snapshot := q.Snapshot(at(7))
+	restarted := New()
+	restarted.Merge(snapshot, 2*time.Second, at(9))
+	c.Check(restarted.Blocked(7, at(9)), qt.IsTrue)
+	exitServer(restarted, 12, 10, 8)
+	c.Check(blockedAfterSettling(restarted, 10), qt.DeepEquals, []Digest{8})
+	c.Check(restarted.records[30], qt.IsNil)
 }
 
-// TestLostRacksAreBounded: however many servers end and requests are lost, what is kept and
-// told stays small, and a request that ends servers is found among them.
+// TestLostRacksAreBounded checks that stored and reported data stay within their limits however
+// many servers exit, and that a poison request is still found among the lost ones.
 func TestLostRacksAreBounded(t *testing.T) {
 	c := qt.New(t)
 	q := New()
@@ -220,12 +226,12 @@
 	}
 	c.Check(len(q.records) <= maxRecords, qt.IsTrue)
 	c.Check(len(q.exitedAt) <= maxExitedServers, qt.IsTrue)
-	words := q.Reports(at(7))
+	reports := q.Reports(at(7))
 	servers := 0
-	for _, w := range words {
+	for _, w := range reports {
 		servers += len(w.Exits)
 	}
-	c.Check(len(words) <= maxReports && servers <= maxReportedExits, qt.IsTrue)
-	c.Check(words[0].Digest, qt.Equals, Digest(7))
+	c.Check(len(reports) <= maxReports && servers <= maxReportedExits, qt.IsTrue)
+	c.Check(reports[0].Digest, qt.Equals, Digest(7))
 	c.Check(blockedAfterSettling(q, 7), qt.DeepEquals, []Digest{7})
 }
--- a/internal/quarantine/report.go
+++ b/internal/quarantine/report.go
@@ -6,162 +6,166 @@
 )
 
 const (
-	// changeReportDuration is how long what is new of a request is told: 75 reports of a large deployment,
-	// and a cut of most of that. That a request is held back is told as long as it is.
+	// changeReportDuration is how long a change is included in reports. It covers 75 reports of
+	// a large deployment and a network partition of most of that time. A blocked request is
+	// reported for as long as it is blocked.
 	changeReportDuration = 30 * time.Second
-	// maxReports bounds the requests that a daemon tells of, and maxReportedExits the servers
-	// that it names with them, in about 2 KB.
+	// maxReports bounds the requests that a daemon reports, and maxReportedExits the servers in
+	// these reports. Together they take about 2 KB.
 	maxReports       = 64
 	maxReportedExits = 256
-	// minSnapshotExits is the number of servers from which on the record of the lease keeps a
-	// request that is not held back.
+	// minSnapshotExits is the number of exits from which a request that is not blocked is
+	// stored in the lease record.
 	minSnapshotExits = 2
 )
 
-// Report is what daemons tell each other of a request. Words add up: in whichever order and
-// however often they come, what is known in the end is the same. Ages are as of when the word
-// is told.
+// Report is what daemons send each other about one request. Merging reports is commutative and
+// idempotent: neither their order nor duplicates change the result. Ages are relative to the
+// time of sending.
 type Report struct {
 	Digest Digest `json:"content"`
-	// Exits are servers that ended while they had it.
+	// Exits are the servers that exited while they ran the request.
 	Exits []ServerExit `json:"endings,omitempty"`
-	// Blocked is set while it is held back, Answered where an answer to it was whole.
+	// Blocked is set while the request is blocked, Answered where a complete answer is known.
 	Blocked     bool          `json:"barred,omitempty"`
 	BlockedAge  time.Duration `json:"barred_age,omitempty"`
 	Answered    bool          `json:"answered,omitempty"`
 	AnsweredAge time.Duration `json:"answered_age,omitempty"`
 }
 
-// ServerExit is a server that ended, how long ago, and how long before that the request was last
-// sent there.
+// ServerExit is a server that exited: Age is the time since the exit, SentBefore the time from
+// the last send of the request there to the exit.
 type ServerExit struct {
 	Server     ServerInstance `json:"server"`
 	Age        time.Duration  `json:"age"`
 	SentBefore time.Duration  `json:"after"`
 }
 
-// Reports returns what others should know, what matters most first.
+// Reports returns the reports for peers, in descending priority.
 func (q *Quarantine) Reports(now time.Time) []Report {
 	return q.buildReports(now, func(r *record) bool { return r.blocked(now) || now.Sub(r.changedAt) < changeReportDuration })
 }
 
-// Snapshot returns what daemons should know that start when no other is left to ask.
+// Snapshot returns the reports for the lease record, from which a daemon starts when no other
+// daemon is left.
 func (q *Quarantine) Snapshot(now time.Time) []Report {
 	return q.buildReports(now, func(r *record) bool {
 		return r.blocked(now) || (len(r.exits) >= minSnapshotExits && !r.recentlyAnswered(now))
 	})
 }
 
-// buildReports returns words on the records that matter most of those to keep.
+// buildReports returns the reports of the records accepted by keep, in descending priority and
+// within maxReports and maxReportedExits.
 func (q *Quarantine) buildReports(now time.Time, keep func(*record) bool) []Report {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	var contents []Digest
-	for content, r := range q.records {
+	var digests []Digest
+	for digest, r := range q.records {
 		if keep(r) {
-			contents = append(contents, content)
+			digests = append(digests, digest)
 		}
 	}
-	slices.SortFunc(contents, func(a, b Digest) int { return q.records[b].comparePriority(q.records[a], now) })
-	var words []Report
-	left := maxReportedExits
-	for _, content := range contents[:min(len(contents), maxReports)] {
-		word := q.buildReport(content, left, now)
-		left -= len(word.Exits)
-		words = append(words, word)
+	slices.SortFunc(digests, func(a, b Digest) int { return q.records[b].comparePriority(q.records[a], now) })
+	var reports []Report
+	exitsLeft := maxReportedExits
+	for _, digest := range digests[:min(len(digests), maxReports)] {
+		report := q.buildReport(digest, exitsLeft, now)
+		exitsLeft -= len(report.Exits)
+		reports = append(reports, report)
 	}
-	return words
+	return reports
 }
 
-// buildReport returns a word on a request with some of its servers at most, the latest.
-func (q *Quarantine) buildReport(content Digest, most int, now time.Time) Report {
-	r := q.records[content]
-	word := Report{Digest: content}
-	for server, sent := range r.exits {
-		ended := q.exitedAt[server]
-		word.Exits = append(word.Exits, ServerExit{Server: server, Age: now.Sub(ended), SentBefore: ended.Sub(sent)})
+// buildReport returns the report of one request with its latest exits, at most maxExits of
+// them.
+func (q *Quarantine) buildReport(digest Digest, maxExits int, now time.Time) Report {
+	r := q.records[digest]
+	report := Report{Digest: digest}
+	for server, sentAt := range r.exits {
+		exitedAt := q.exitedAt[server]
+		report.Exits = append(report.Exits, ServerExit{Server: server, Age: now.Sub(exitedAt), SentBefore: exitedAt.Sub(sentAt)})
 	}
-	slices.SortFunc(word.Exits, func(a, b ServerExit) int { return int(a.Age - b.Age) })
-	word.Exits = word.Exits[:min(len(word.Exits), most)]
+	slices.SortFunc(report.Exits, func(a, b ServerExit) int { return int(a.Age - b.Age) })
+	report.Exits = report.Exits[:min(len(report.Exits), maxExits)]
 	if r.blocked(now) {
-		word.Blocked, word.BlockedAge = true, now.Sub(r.blockedAt)
+		report.Blocked, report.BlockedAge = true, now.Sub(r.blockedAt)
 	}
 	if !r.answeredAt.IsZero() {
-		word.Answered, word.AnsweredAge = true, now.Sub(r.answeredAt)
+		report.Answered, report.AnsweredAge = true, now.Sub(r.answeredAt)
 	}
-	return word
+	return report
 }
 
-// Merge takes over what others tell, aged by how long it was on its way. It reports whether
-// something of it should go on to others at once, and the requests that are held back from
-// now on.
-func (q *Quarantine) Merge(words []Report, aged time.Duration, now time.Time) (matters bool, held []Digest) {
-	if len(words) == 0 {
+// Merge adds reports received from peers. transit is the time since they were sent. It reports
+// whether the changes should be forwarded at once, and returns the digests that became blocked.
+func (q *Quarantine) Merge(reports []Report, transit time.Duration, now time.Time) (propagate bool, newlyBlocked []Digest) {
+	if len(reports) == 0 {
 		return false, nil
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, word := range words[:min(len(words), maxReports)] {
-		news, barred := q.mergeReport(word.clampAges(), aged, now)
-		matters = matters || news
-		if barred {
-			held = append(held, word.Digest)
+	for _, report := range reports[:min(len(reports), maxReports)] {
+		changed, blocked := q.mergeReport(report.clampAges(), transit, now)
+		propagate = propagate || changed
+		if blocked {
+			newlyBlocked = append(newlyBlocked, report.Digest)
 		}
 	}
 	q.prune(now)
-	return matters, held
+	return propagate, newlyBlocked
 }
 
-// clampAges returns the word without ages below zero: nothing that was told is yet to come.
-func (w Report) clampAges() Report {
-	w.BlockedAge, w.AnsweredAge = max(0, w.BlockedAge), max(0, w.AnsweredAge)
-	w.Exits = slices.Clone(w.Exits)
-	for i := range w.Exits {
-		w.Exits[i].Age, w.Exits[i].SentBefore = max(0, w.Exits[i].Age), max(0, w.Exits[i].SentBefore)
+// clampAges returns a copy of the report with negative ages set to zero, so that no event lies
+// in the future.
+func (r Report) clampAges() Report {
+	r.BlockedAge, r.AnsweredAge = max(0, r.BlockedAge), max(0, r.AnsweredAge)
+	r.Exits = slices.Clone(r.Exits)
+	for i := range r.Exits {
+		r.Exits[i].Age, r.Exits[i].SentBefore = max(0, r.Exits[i].Age), max(0, r.Exits[i].SentBefore)
 	}
-	return w
+	return r
 }
 
-func (q *Quarantine) mergeReport(word Report, aged time.Duration, now time.Time) (matters, held bool) {
-	for _, e := range word.Exits {
-		if age := e.Age + aged; age < exitRetention {
-			ended := now.Add(-age)
-			q.recordExitTime(e.Server, ended)
-			matters = q.recordRequestExit(word.Digest, e.Server, ended.Add(-e.SentBefore), now) || matters
+func (q *Quarantine) mergeReport(report Report, transit time.Duration, now time.Time) (propagate, newlyBlocked bool) {
+	for _, e := range report.Exits {
+		if age := e.Age + transit; age < exitRetention {
+			exitedAt := now.Add(-age)
+			q.recordExitTime(e.Server, exitedAt)
+			propagate = q.recordRequestExit(report.Digest, e.Server, exitedAt.Add(-e.SentBefore), now) || propagate
 		}
 	}
-	if word.Answered && word.AnsweredAge+aged < answerTrustDuration {
-		matters = q.mergeAnswer(word.Digest, now.Add(-word.AnsweredAge-aged), now) || matters
+	if report.Answered && report.AnsweredAge+transit < answerTrustDuration {
+		propagate = q.mergeAnswer(report.Digest, now.Add(-report.AnsweredAge-transit), now) || propagate
 	}
-	if word.Blocked && word.BlockedAge+aged < blockDuration {
-		held = q.mergeBlock(word.Digest, now.Add(-word.BlockedAge-aged), now)
+	if report.Blocked && report.BlockedAge+transit < blockDuration {
+		newlyBlocked = q.mergeBlock(report.Digest, now.Add(-report.BlockedAge-transit), now)
 	}
-	return matters || held, held
+	return propagate || newlyBlocked, newlyBlocked
 }
 
-// mergeAnswer takes over that an answer was whole at another daemon.
-func (q *Quarantine) mergeAnswer(content Digest, at, now time.Time) (matters bool) {
-	r := q.getOrCreateRecord(content)
+// mergeAnswer records a complete answer at another daemon.
+func (q *Quarantine) mergeAnswer(digest Digest, at, now time.Time) (propagate bool) {
+	r := q.getOrCreateRecord(digest)
 	if at.Sub(r.answeredAt) < time.Second {
 		return false
 	}
-	matters = !r.recentlyAnswered(now)
+	propagate = !r.recentlyAnswered(now)
 	r.applyAnswer(at)
 	q.recordChange(r, now)
-	return matters
+	return propagate
 }
 
-// mergeBlock takes over that another daemon holds a request back. One that was answered here
-// lately stays free, and the others hear that.
-func (q *Quarantine) mergeBlock(content Digest, since, now time.Time) (held bool) {
-	r := q.getOrCreateRecord(content)
+// mergeBlock records that another daemon blocked a request. A request recently answered here
+// stays unblocked, and the peers receive that answer in a report.
+func (q *Quarantine) mergeBlock(digest Digest, since, now time.Time) (newlyBlocked bool) {
+	r := q.getOrCreateRecord(digest)
 	if r.recentlyAnswered(now) {
 		return false
 	}
-	before := r.blocked(now)
+	wasBlocked := r.blocked(now)
 	if r.blockedAt.IsZero() || now.Sub(r.blockedAt) >= blockDuration {
 		r.blockedAt = since
 		q.recordChange(r, now)
 	}
-	return !before && r.blocked(now)
+	return !wasBlocked && r.blocked(now)
 }
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -11,18 +11,19 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The plays are of whole deployments in steps of virtual time: daemons in zones, whose leads
-// pass on what each knows, and servers that end under some requests.
+// The simulations run whole deployments in steps of virtual time: daemons in zones, leads that
+// forward reports between zones, and servers that exit under some requests.
 const (
 	simStep = 20 * time.Millisecond
-	// crashLatency is how long a server runs a request that ends it, answerLatency how long an
-	// answer takes, away how long a server that ended is away.
+	// crashLatency is how long a server runs a poison request before it exits, answerLatency
+	// the mean time to an answer, and serverDowntime how long a server is away after an exit.
 	crashLatency   = 80 * time.Millisecond
 	answerLatency  = 600 * time.Millisecond
 	serverDowntime = 3 * time.Second
-	// propagationLimit is how long after its third server has ended daemons may not know of a request.
+	// propagationLimit is the time after the third server exit of a request within which a
+	// daemon may not have received the reports yet.
 	propagationLimit = 3 * time.Second
-	// snapshotInterval is how often what is known is kept in the store.
+	// snapshotInterval is the time between two snapshots written to the store.
 	snapshotInterval = 500 * time.Millisecond
 )
 
@@ -37,7 +38,7 @@
 	availableAt time.Time
 }
 
-// attempt is a request on its way.
+// attempt is a request in flight.
 type attempt struct {
 	daemon    int
 	digest    Digest
@@ -47,17 +48,18 @@
 	triesLeft int
 }
 
-// scenario says what happens in a play.
+// scenario configures a simulation.
 type scenario struct {
 	daemonCount, zoneCount, serverCount int
-	// poisonRequests are requests that end servers, every the time between two copies of one.
+	// poisonRequests is the number of distinct poison requests, poisonInterval the mean time
+	// between two copies of one.
 	poisonRequests int
 	poisonInterval time.Duration
-	// callsPerSecond are innocent requests a second; a tenth ask the same.
+	// callsPerSecond is the rate of harmless requests. A tenth of them share one digest.
 	callsPerSecond int
 	duration       time.Duration
-	// onStep is called at each step.
-	onStep func(p *simulation, now time.Time)
+	// onStep injects faults at each step.
+	onStep func(sim *simulation, now time.Time)
 }
 
 type simulation struct {
@@ -78,118 +80,119 @@
 	falsePositives int
 }
 
-func isPoison(content Digest) bool { return content < 100 }
+func isPoison(digest Digest) bool { return digest < 100 }
 
-// commonDigest is what many ask for.
+// commonDigest is the digest shared by many harmless requests.
 const commonDigest = Digest(500)
 
 func newSimulation(s scenario, seed uint64) *simulation {
-	p := &simulation{
+	sim := &simulation{
 		scenario: s, rng: rand.New(rand.NewPCG(seed, 7)), cutZone: -1, nextDigest: 1000,
 		gossipInterval: min(400*time.Millisecond, max(150*time.Millisecond, time.Duration(s.daemonCount)*5*time.Millisecond)),
 		exits:          map[Digest][]time.Time{}, sends: map[Digest][]time.Time{},
 	}
 	for i := range s.daemonCount {
-		p.daemons = append(p.daemons, &simDaemon{zone: i % s.zoneCount, q: New()})
+		sim.daemons = append(sim.daemons, &simDaemon{zone: i % s.zoneCount, q: New()})
 	}
 	for range s.serverCount {
-		p.nextInstance++
-		p.servers = append(p.servers, simServer{id: p.nextInstance})
+		sim.nextInstance++
+		sim.servers = append(sim.servers, simServer{id: sim.nextInstance})
 	}
-	return p
+	return sim
 }
 
-// run plays the script.
-func (p *simulation) run() {
-	poisonAt := make([]time.Time, p.poisonRequests)
-	for now := start; now.Before(start.Add(p.duration)); now = now.Add(simStep) {
-		if p.onStep != nil {
-			p.onStep(p, now)
+// run runs the simulation to its end.
+func (sim *simulation) run() {
+	poisonAt := make([]time.Time, sim.poisonRequests)
+	for now := start; now.Before(start.Add(sim.duration)); now = now.Add(simStep) {
+		if sim.onStep != nil {
+			sim.onStep(sim, now)
 		}
 		for i := range poisonAt {
 			if now.Sub(start) > 2*time.Second && !now.Before(poisonAt[i]) {
-				poisonAt[i] = now.Add(p.poisonInterval/2 + time.Duration(p.rng.Int64N(int64(p.poisonInterval))))
-				p.send(Digest(i), 2, now)
+				poisonAt[i] = now.Add(sim.poisonInterval/2 + time.Duration(sim.rng.Int64N(int64(sim.poisonInterval))))
+				sim.send(Digest(i), 2, now)
 			}
 		}
-		for range p.callsPerSecond * int(simStep) / int(time.Second) {
-			content := commonDigest
-			if p.rng.IntN(10) > 0 {
-				p.nextDigest++
-				content = p.nextDigest
+		for range sim.callsPerSecond * int(simStep) / int(time.Second) {
+			digest := commonDigest
+			if sim.rng.IntN(10) > 0 {
+				sim.nextDigest++
+				digest = sim.nextDigest
 			}
-			p.send(content, 4, now)
+			sim.send(digest, 4, now)
 		}
-		p.completeDue(now)
-		p.gossip(now)
+		sim.completeDue(now)
+		sim.gossip(now)
 	}
 }
 
-// randomRunningDaemon returns a daemon that runs.
-func (p *simulation) randomRunningDaemon() int {
+// randomRunningDaemon returns the index of a daemon that is not suspended.
+func (sim *simulation) randomRunningDaemon() int {
 	for {
-		if i := p.rng.IntN(len(p.daemons)); !p.daemons[i].suspended {
+		if i := sim.rng.IntN(len(sim.daemons)); !sim.daemons[i].suspended {
 			return i
 		}
 	}
 }
 
-// send sends a request to a server from some daemon, as often as its tries allow.
-func (p *simulation) send(content Digest, tries int, now time.Time) {
-	p.sendFrom(p.randomRunningDaemon(), content, tries, now, false)
+// send sends a request from a random daemon, with the given number of tries left.
+func (sim *simulation) send(digest Digest, tries int, now time.Time) {
+	sim.sendFrom(sim.randomRunningDaemon(), digest, tries, now, false)
 }
 
-func (p *simulation) sendFrom(daemon int, content Digest, tries int, now time.Time, again bool) {
-	q := p.daemons[daemon].q
-	if q.Blocked(content, now) {
-		if !isPoison(content) {
-			p.falsePositives++
+func (sim *simulation) sendFrom(daemon int, digest Digest, tries int, now time.Time, retry bool) {
+	q := sim.daemons[daemon].q
+	if q.Blocked(digest, now) {
+		if !isPoison(digest) {
+			sim.falsePositives++
 		}
 		return
 	}
-	if again && q.Suspected(content) {
+	if retry && q.Suspected(digest) {
 		return
 	}
-	server := p.rng.IntN(len(p.servers))
-	for range p.servers {
-		if now.After(p.servers[server].availableAt) {
+	server := sim.rng.IntN(len(sim.servers))
+	for range sim.servers {
+		if now.After(sim.servers[server].availableAt) {
 			break
 		}
-		server = (server + 1) % len(p.servers)
+		server = (server + 1) % len(sim.servers)
 	}
-	if !now.After(p.servers[server].availableAt) {
+	if !now.After(sim.servers[server].availableAt) {
 		return
 	}
-	takes := answerLatency/2 + time.Duration(p.rng.Int64N(int64(answerLatency)))
-	if isPoison(content) {
-		takes = crashLatency
-		p.sends[content] = append(p.sends[content], now)
+	latency := answerLatency/2 + time.Duration(sim.rng.Int64N(int64(answerLatency)))
+	if isPoison(digest) {
+		latency = crashLatency
+		sim.sends[digest] = append(sim.sends[digest], now)
 	}
-	p.inFlight = append(p.inFlight, attempt{daemon: daemon, digest: content, server: server, sentAt: now, endsAt: now.Add(takes), triesLeft: tries - 1})
+	sim.inFlight = append(sim.inFlight, attempt{daemon: daemon, digest: digest, server: server, sentAt: now, endsAt: now.Add(latency), triesLeft: tries - 1})
 }
 
-// completeDue ends what has come to its end: answers, and servers under requests.
-func (p *simulation) completeDue(now time.Time) {
-	for _, a := range slices.Clone(p.inFlight) {
-		if now.Before(a.endsAt) || !slices.Contains(p.inFlight, a) {
+// completeDue completes the attempts that are due: it records their answers, or crashes the
+// servers of poison requests.
+func (sim *simulation) completeDue(now time.Time) {
+	for _, a := range slices.Clone(sim.inFlight) {
+		if now.Before(a.endsAt) || !slices.Contains(sim.inFlight, a) {
 			continue
 		}
 		if isPoison(a.digest) {
-			p.exits[a.digest] = append(p.exits[a.digest], now)
-			p.crashServer(a.server, now)
+			sim.exits[a.digest] = append(sim.exits[a.digest], now)
+			sim.crashServer(a.server, now)
 			continue
 		}
-		p.daemons[a.daemon].q.RecordAnswer(a.digest, now)
-		p.inFlight = slices.DeleteFunc(p.inFlight, func(b attempt) bool { return b == a })
+		sim.daemons[a.daemon].q.RecordAnswer(a.digest, now)
+		sim.inFlight = slices.DeleteFunc(sim.inFlight, func(b attempt) bool { return b == a })
 	}
 }
 
-// crashServer ends a server, with all that it has.
-func (p *simulation) crashServer(server int, now time.Time) {
-	id := p.servers[server].id
+// crashServer ends a server and all its attempts, and restarts it under a new instance.
+func (sim *simulation) crashServer(server int, now time.Time) {
+	id := sim.servers[server].id
 	lost := map[int][]LostRequest{}
 	var broken []attempt
-	p.inFlight = slices.DeleteFunc(p.inFlight, func(a attempt) bool {
+	sim.inFlight = slices.DeleteFunc(sim.inFlight, func(a attempt) bool {
 		if a.server != server {
 			return false
 		}
@@ -197,150 +200,152 @@
 		lost[a.daemon] = append(lost[a.daemon], LostRequest{Digest: a.digest, SentAt: a.sentAt})
 		return true
 	})
-	p.nextInstance++
-	p.servers[server] = simServer{id: p.nextInstance, availableAt: now.Add(serverDowntime)}
+	sim.nextInstance++
+	sim.servers[server] = simServer{id: sim.nextInstance, availableAt: now.Add(serverDowntime)}
 	for daemon, requests := range lost {
-		p.daemons[daemon].q.RecordExit(id, requests, now, now)
+		sim.daemons[daemon].q.RecordExit(id, requests, now, now)
 	}
 	for _, a := range broken {
 		switch {
 		case a.triesLeft == 0:
 		case a.triesLeft%2 == 1:
-			p.sendFrom(a.daemon, a.digest, a.triesLeft, now, true)
+			sim.sendFrom(a.daemon, a.digest, a.triesLeft, now, true)
 		default:
-			// The caller comes again.
-			p.send(a.digest, a.triesLeft, now)
+			// The caller sends the request again.
+			sim.send(a.digest, a.triesLeft, now)
 		}
 	}
 }
 
-// gossip passes on what is known, from each daemon to its zone's lead, between leads and back;
-// each takes a part of the round in turn.
-func (p *simulation) gossip(now time.Time) {
-	settled := 2*p.gossipInterval + 100*time.Millisecond
-	if now.Sub(p.snapshotAt) >= snapshotInterval {
-		p.snapshotAt = now
-		p.snapshot = p.zoneLead(0).q.Snapshot(now)
-		p.exchangeViaStore(now)
+// gossip exchanges reports between each daemon and the lead of its zone, and between leads. In
+// each step only the daemons in one slot of the gossip interval take part.
+func (sim *simulation) gossip(now time.Time) {
+	settleDuration := 2*sim.gossipInterval + 100*time.Millisecond
+	if now.Sub(sim.snapshotAt) >= snapshotInterval {
+		sim.snapshotAt = now
+		sim.snapshot = sim.zoneLead(0).q.Snapshot(now)
+		sim.exchangeViaStore(now)
 	}
-	part := int(now.Sub(start)/simStep) % max(1, int(p.gossipInterval/simStep))
-	for i, d := range p.daemons {
+	slot := int(now.Sub(start)/simStep) % max(1, int(sim.gossipInterval/simStep))
+	for i, d := range sim.daemons {
 		if d.suspended {
 			continue
 		}
-		if i%max(1, int(p.gossipInterval/simStep)) != part {
+		if i%max(1, int(sim.gossipInterval/simStep)) != slot {
 			continue
 		}
-		d.q.Evaluate(now, settled)
-		lead := p.zoneLead(d.zone)
+		d.q.Evaluate(now, settleDuration)
+		lead := sim.zoneLead(d.zone)
 		if lead != d {
 			lead.q.Merge(d.q.Reports(now), 0, now)
 			d.q.Merge(lead.q.Reports(now), 0, now)
 		}
-		for zone := range p.zoneCount {
-			if other := p.zoneLead(zone); lead == d && zone != d.zone && (zone == p.cutZone) == (d.zone == p.cutZone) {
+		for zone := range sim.zoneCount {
+			if other := sim.zoneLead(zone); lead == d && zone != d.zone && (zone == sim.cutZone) == (d.zone == sim.cutZone) {
 				other.q.Merge(d.q.Reports(now), 0, now)
 			}
 		}
 	}
 }
 
-// exchangeViaStore passes on what the leads know through the store while a zone is cut off.
-func (p *simulation) exchangeViaStore(now time.Time) {
-	for zone := range p.zoneCount {
-		if from := p.zoneLead(zone); p.cutZone >= 0 && zone != p.cutZone {
-			from.q.Merge(p.zoneLead(p.cutZone).q.Reports(now), 0, now)
-			p.zoneLead(p.cutZone).q.Merge(from.q.Reports(now), 0, now)
+// exchangeViaStore exchanges the reports of the leads through the store while a zone is cut
+// off.
+func (sim *simulation) exchangeViaStore(now time.Time) {
+	for zone := range sim.zoneCount {
+		if from := sim.zoneLead(zone); sim.cutZone >= 0 && zone != sim.cutZone {
+			from.q.Merge(sim.zoneLead(sim.cutZone).q.Reports(now), 0, now)
+			sim.zoneLead(sim.cutZone).q.Merge(from.q.Reports(now), 0, now)
 		}
 	}
 }
 
-// zoneLead returns the first daemon of a zone that runs, or one of another zone.
-func (p *simulation) zoneLead(zone int) *simDaemon {
-	for _, d := range p.daemons {
+// zoneLead returns the first running daemon of a zone, or any running daemon where the zone has
+// none.
+func (sim *simulation) zoneLead(zone int) *simDaemon {
+	for _, d := range sim.daemons {
 		if d.zone == zone && !d.suspended {
 			return d
 		}
 	}
-	return p.daemons[p.randomRunningDaemon()]
+	return sim.daemons[sim.randomRunningDaemon()]
 }
 
-// restartDaemon starts a daemon anew, with what the store keeps.
-func (p *simulation) restartDaemon(i int, now time.Time) {
-	p.daemons[i].q = New()
-	p.daemons[i].q.Merge(p.snapshot, now.Sub(p.snapshotAt), now)
-	p.inFlight = slices.DeleteFunc(p.inFlight, func(a attempt) bool { return a.daemon == i })
+// restartDaemon replaces a daemon by a new one that starts from the snapshot in the store.
+func (sim *simulation) restartDaemon(i int, now time.Time) {
+	sim.daemons[i].q = New()
+	sim.daemons[i].q.Merge(sim.snapshot, now.Sub(sim.snapshotAt), now)
+	sim.inFlight = slices.DeleteFunc(sim.inFlight, func(a attempt) bool { return a.daemon == i })
 }
 
-// lateSends returns how often a request reached servers after its third had ended and daemons had
-// the time to learn of it.
-func (p *simulation) lateSends(content Digest) int {
-	ended := p.exits[content]
-	if len(ended) < minConsecutiveExits {
+// lateSends returns how often a request was sent to a server more than propagationLimit after
+// its third server exit.
+func (sim *simulation) lateSends(digest Digest) int {
+	exits := sim.exits[digest]
+	if len(exits) < minConsecutiveExits {
 		return 0
 	}
 	count := 0
-	for _, at := range p.sends[content] {
-		if at.Sub(ended[minConsecutiveExits-1]) > propagationLimit {
+	for _, at := range sim.sends[digest] {
+		if at.Sub(exits[minConsecutiveExits-1]) > propagationLimit {
 			count++
 		}
 	}
 	return count
 }
 
-// faults are what happens beside the requests.
-var faults = map[string]func(p *simulation, now time.Time){
+// faults are the faults injected beside the requests, by name.
+var faults = map[string]func(sim *simulation, now time.Time){
 	"calm": nil,
-	"daemons die": func(p *simulation, now time.Time) {
+	"daemons die": func(sim *simulation, now time.Time) {
 		if now.Sub(start)%(500*time.Millisecond) == 0 {
-			p.restartDaemon(p.randomRunningDaemon(), now)
+			sim.restartDaemon(sim.randomRunningDaemon(), now)
 		}
 	},
-	"all daemons die": func(p *simulation, now time.Time) {
+	"all daemons die": func(sim *simulation, now time.Time) {
 		if at := now.Sub(start); at == 8*time.Second || at == 16*time.Second {
-			for i := range p.daemons {
-				p.restartDaemon(i, now)
+			for i := range sim.daemons {
+				sim.restartDaemon(i, now)
 			}
 		}
 	},
-	"a zone is cut off": func(p *simulation, now time.Time) {
-		p.cutZone = -1
+	"a zone is cut off": func(sim *simulation, now time.Time) {
+		sim.cutZone = -1
 		if at := now.Sub(start); at > time.Second && at < 9*time.Second {
-			p.cutZone = 1
+			sim.cutZone = 1
 		}
 	},
-	"racks are lost": func(p *simulation, now time.Time) {
+	"racks are lost": func(sim *simulation, now time.Time) {
 		if now.Sub(start)%(5*time.Second) == 0 {
-			for i := range p.servers {
-				if i%5 == 0 && now.After(p.servers[i].availableAt) {
-					p.crashServer(i, now)
+			for i := range sim.servers {
+				if i%5 == 0 && now.After(sim.servers[i].availableAt) {
+					sim.crashServer(i, now)
 				}
 			}
 		}
 	},
-	"servers flap": func(p *simulation, now time.Time) {
+	"servers flap": func(sim *simulation, now time.Time) {
 		if now.Sub(start)%(300*time.Millisecond) == 0 {
-			if i := p.rng.IntN(len(p.servers)); now.After(p.servers[i].availableAt) {
-				p.crashServer(i, now)
+			if i := sim.rng.IntN(len(sim.servers)); now.After(sim.servers[i].availableAt) {
+				sim.crashServer(i, now)
 			}
 		}
 	},
-	"daemons are suspended": func(p *simulation, now time.Time) {
+	"daemons are suspended": func(sim *simulation, now time.Time) {
 		at := now.Sub(start)
-		for i, d := range p.daemons {
-			// What a suspended daemon knows stands still, and so does its steady clock.
+		for i, d := range sim.daemons {
+			// The state of a suspended daemon does not change, nor does its monotonic clock.
 			d.suspended = i%5 == 2 && at%(7*time.Second) > 2*time.Second
 		}
 	},
 }
 
 var (
-	seedCount = flag.Int("quarantine.seeds", 1, "number of seeds for each play")
+	seedCount = flag.Int("quarantine.seeds", 1, "number of seeds for each simulation")
 	firstSeed = flag.Uint64("quarantine.first", 1, "first of these seeds")
 )
 
-// TestPlays: at 8, 70 and 300 daemons a request that ends servers is held back in time, and no
-// other is, whatever else happens.
+// TestPlays checks at 8, 70 and 300 daemons, under each fault, that a poison request is blocked
+// in time and that no other request is blocked.
 func TestPlays(t *testing.T) {
 	sizes := []scenario{
 		{daemonCount: 8, zoneCount: 3, serverCount: 9, callsPerSecond: 50},
@@ -348,16 +353,16 @@
 		{daemonCount: 300, zoneCount: 5, serverCount: 165, callsPerSecond: 250},
 	}
 	for _, size := range sizes {
-		for name, happens := range faults {
-			for _, poisons := range []int{0, 1, 2} {
-				t.Run(fmt.Sprintf("%d daemons, %d such requests, %s", size.daemonCount, poisons, name), func(t *testing.T) {
+		for name, onStep := range faults {
+			for _, poisonCount := range []int{0, 1, 2} {
+				t.Run(fmt.Sprintf("%d daemons, %d such requests, %s", size.daemonCount, poisonCount, name), func(t *testing.T) {
 					t.Parallel()
 					s := size
-					s.poisonRequests, s.poisonInterval, s.duration, s.onStep = poisons, 500*time.Millisecond, 24*time.Second, happens
+					s.poisonRequests, s.poisonInterval, s.duration, s.onStep = poisonCount, 500*time.Millisecond, 24*time.Second, onStep
 					for seed := range uint64(*seedCount) {
-						p := newSimulation(s, *firstSeed+seed)
-						p.run()
-						checkSimulation(t, p, *firstSeed+seed)
+						sim := newSimulation(s, *firstSeed+seed)
+						sim.run()
+						checkSimulation(t, sim, *firstSeed+seed)
 					}
 				})
 			}
@@ -365,12 +370,12 @@
 	}
 }
 
-func checkSimulation(t *testing.T, p *simulation, seed uint64) {
+func checkSimulation(t *testing.T, sim *simulation, seed uint64) {
 	c := qt.New(t)
-	for i := range p.poisonRequests {
-		late := p.lateSends(Digest(i))
-		t.Logf("seed %d: %d servers ended, reached %d, %d late", seed, len(p.exits[Digest(i)]), len(p.sends[Digest(i)]), late)
-		c.Check(late <= 3, qt.IsTrue, qt.Commentf("seed %d: reached servers %d times after its third had ended", seed, late))
+	for i := range sim.poisonRequests {
+		lateSends := sim.lateSends(Digest(i))
+		t.Logf("seed %d: %d server exits, %d sends, %d late sends", seed, len(sim.exits[Digest(i)]), len(sim.sends[Digest(i)]), lateSends)
+		c.Check(lateSends <= 3, qt.IsTrue, qt.Commentf("seed %d: poison request sent %d times after its third server exit had propagated", seed, lateSends))
 	}
-	c.Check(p.falsePositives, qt.Equals, 0, qt.Commentf("seed %d: innocent requests were held back", seed))
+	c.Check(sim.falsePositives, qt.Equals, 0, qt.Commentf("seed %d: harmless requests were blocked", seed))
 }
--- a/internal/quarantine/watch/probe_test.go
+++ b/internal/quarantine/watch/probe_test.go
@@ -13,8 +13,8 @@
 	"github.com/plankridge/plankridge/internal/quarantine"
 )
 
-// fakeServers are servers of which some have ended. It counts how often they are asked; servers are
-// asked at once, each by its own timer.
+// fakeServers are servers of which some have exited. It counts probes, which run concurrently,
+// each from its own timer.
 type fakeServers struct {
 	exited map[string]bool
 
@@ -22,19 +22,19 @@
 	probeCount int
 }
 
-// server returns one of them.
-func (m *fakeServers) server(key quarantine.ServerInstance, id string) Server {
+// server returns the server with an ID.
+func (f *fakeServers) server(key quarantine.ServerInstance, id string) Server {
 	return Server{Key: key, ID: id, Exited: func(context.Context) bool {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		m.probeCount++
-		return m.exited[id]
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.probeCount++
+		return f.exited[id]
 	}}
 }
 
-// TestServersThatEndAreTold: attempts that break at a server together are asked for once, and
-// a connection that broke alone tells of no end. One that has started again has ended, though
-// somebody listens at its address.
+// TestServersThatEndAreTold checks that all attempts that break at a server lead to one probe,
+// and that a broken connection alone is not reported as an exit. A server that has restarted is
+// reported as exited, though the new process answers at its address.
 func TestServersThatEndAreTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -49,14 +49,14 @@
 		w.RecordBrokenAttempt(servers.server(3, "again"), quarantine.LostRequest{Digest: 10, SentAt: broke}, true, broke)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		told := map[quarantine.Digest]quarantine.ServerInstance{}
-		for _, word := range w.Reports(time.Now()) {
-			c.Assert(word.Exits, qt.HasLen, 1)
-			told[word.Digest] = word.Exits[0].Server
-			// All ended when the first attempt broke there.
-			c.Check(word.Exits[0].Age, qt.Equals, time.Since(broke))
+		reported := map[quarantine.Digest]quarantine.ServerInstance{}
+		for _, report := range w.Reports(time.Now()) {
+			c.Assert(report.Exits, qt.HasLen, 1)
+			reported[report.Digest] = report.Exits[0].Server
+			// The exit time is that of the first broken attempt.
+			c.Check(report.Exits[0].Age, qt.Equals, time.Since(broke))
 		}
-		c.Check(told, qt.DeepEquals, map[quarantine.Digest]quarantine.ServerInstance{0: 1, 1: 1, 2: 1, 3: 1, 4: 1, 10: 3})
+		c.Check(reported, qt.DeepEquals, map[quarantine.Digest]quarantine.ServerInstance{0: 1, 1: 1, 2: 1, 3: 1, 4: 1, 10: 3})
 		c.Check(servers.probeCount, qt.Equals, 3)
 	})
 }
--- a/internal/quarantine/watch/watch.go
+++ b/internal/quarantine/watch/watch.go
@@ -1,5 +1,5 @@
-// Package watch runs a quarantine for a daemon: it finds out whether servers have ended under
-// requests, judges when something was learned, and lets others hear of it.
+// Package watch runs the quarantine of a daemon. It checks whether servers have exited under
+// requests, evaluates the quarantine on each change, and notifies the peers.
 package watch
 
 import (
@@ -11,37 +11,38 @@
 )
 
 const (
-	// minNotifyInterval is the least time between two reports that go out early for what was learned of
-	// requests that end servers: ten a second from each lead while many servers end would be
-	// four times its usual traffic.
+	// minNotifyInterval is the least time between two early reports about poison requests. Ten
+	// a second from each lead while many servers exit would be four times a lead's usual
+	// traffic.
 	minNotifyInterval = 200 * time.Millisecond
-	// settleMargin is added to the two rounds of reports after which all daemons have told
-	// what they know: early reports take about that on their way.
+	// settleMargin is added to two report intervals, after which the reports of all daemons
+	// have arrived. Early reports take about that long in transit.
 	settleMargin = 100 * time.Millisecond
 )
 
-// Options are what a Watch works with.
+// Options configure a Watcher.
 type Options struct {
-	// ReportInterval returns the time between two reports to others, and Soon lets the next one go out at
-	// once. Both are nil where there are no others.
+	// ReportInterval returns the time between two reports to peers, and NotifyPeers makes the
+	// next one go out at once. Both are nil where there are no peers.
 	ReportInterval func(now time.Time) time.Duration
 	NotifyPeers    func()
 	Logger         *slog.Logger
 }
 
-// Watcher watches the requests of a daemon. It may be used by several goroutines.
+// Watcher runs the quarantine for the requests of one daemon. It is safe for concurrent use.
 type Watcher struct {
 	options    Options
 	quarantine *quarantine.Quarantine
 	probes     pendingProbes
 
 	mu sync.Mutex
-	// notifiedAt is when a report last went out early, judging whether one more judgement is due.
+	// notifiedAt is when a report last went out early. evaluationScheduled is set while a timer
+	// for another evaluation is running.
 	notifiedAt          time.Time
 	evaluationScheduled bool
 }
 
-// New returns a watch that holds nothing back.
+// New returns a Watcher that blocks no request.
 func New(options Options) *Watcher {
 	if options.ReportInterval == nil {
 		options.ReportInterval = func(time.Time) time.Duration { return 0 }
@@ -52,50 +53,51 @@
 	return &Watcher{options: options, quarantine: quarantine.New(), probes: pendingProbes{byServer: map[quarantine.ServerInstance]*suspectedExit{}}}
 }
 
-// Blocked reports whether a request is held back.
-func (w *Watcher) Blocked(content quarantine.Digest, now time.Time) bool {
-	return w.quarantine.Blocked(content, now)
+// Blocked reports whether a request is blocked.
+func (w *Watcher) Blocked(digest quarantine.Digest, now time.Time) bool {
+	return w.quarantine.Blocked(digest, now)
 }
 
-// Suspected reports whether a request whose attempt has broken should not go on to another
+// Suspected reports whether a request whose attempt failed must not be retried at another
 // server.
-func (w *Watcher) Suspected(content quarantine.Digest) bool { return w.quarantine.Suspected(content) }
+func (w *Watcher) Suspected(digest quarantine.Digest) bool { return w.quarantine.Suspected(digest) }
 
-// RecordAnswer notes that a server has run a request to the end.
-func (w *Watcher) RecordAnswer(content quarantine.Digest, now time.Time) {
-	if w.quarantine.RecordAnswer(content, now) {
+// RecordAnswer records that a server completed a request.
+func (w *Watcher) RecordAnswer(digest quarantine.Digest, now time.Time) {
+	if w.quarantine.RecordAnswer(digest, now) {
 		w.notifyPeers(now)
 	}
 }
 
-// ChangeCount returns a number that grows with all that others should know.
+// ChangeCount returns a counter that increases with each change that peers should receive.
 func (w *Watcher) ChangeCount() int { return w.quarantine.ChangeCount() }
 
-// BlockedCount returns the number of requests that are held back.
+// BlockedCount returns the number of digests that are blocked.
 func (w *Watcher) BlockedCount(now time.Time) int { return w.quarantine.BlockedCount(now) }
 
-// Reports returns what others should know.
+// Reports returns the reports for peers.
 func (w *Watcher) Reports(now time.Time) []quarantine.Report { return w.quarantine.Reports(now) }
 
-// Snapshot returns what daemons should know that start when no other is left to ask.
+// Snapshot returns the reports for the lease record, from which a daemon starts when no other
+// daemon is left.
 func (w *Watcher) Snapshot(now time.Time) []quarantine.Report { return w.quarantine.Snapshot(now) }
 
-// Merge takes over what others tell, aged by how long it was on its way.
-func (w *Watcher) Merge(words []quarantine.Report, aged time.Duration, now time.Time) {
-	if len(words) == 0 {
+// Merge adds reports received from peers. transit is the time since they were sent.
+func (w *Watcher) Merge(reports []quarantine.Report, transit time.Duration, now time.Time) {
+	if len(reports) == 0 {
 		return
 	}
-	matters, held := w.quarantine.Merge(words, aged, now)
-	for _, content := range held {
-		w.options.Logger.Warn("request is held back", "content", content.String(), "source", "peer")
+	propagate, blocked := w.quarantine.Merge(reports, transit, now)
+	for _, digest := range blocked {
+		w.options.Logger.Warn("request is held back", "content", digest.String(), "source", "peer")
 	}
-	if matters {
+	if propagate {
 		w.notifyPeers(now)
 	}
 	w.evaluate(now)
 }
 
-// recordExit takes over that a server has ended under requests of this daemon.
+// recordExit records that a server exited while it ran requests of this daemon.
 func (w *Watcher) recordExit(e suspectedExit) {
 	e.log(w.options.Logger)
 	now := time.Now()
@@ -105,23 +107,24 @@
 	w.evaluate(now)
 }
 
-// evaluate decides which requests are held back, and again when more can be decided.
+// evaluate blocks the requests that meet the criteria and schedules the next evaluation where a
+// request is still settling.
 func (w *Watcher) evaluate(now time.Time) {
-	verdicts, again := w.quarantine.Evaluate(now, 2*w.options.ReportInterval(now)+settleMargin)
-	for _, v := range verdicts {
-		w.options.Logger.Warn("request is held back", "content", v.Digest.String(), "source", "own",
-			"servers", v.Servers, "in_a_row", v.Consecutive, "besides", v.UnrelatedExits)
+	verdicts, retryIn := w.quarantine.Evaluate(now, 2*w.options.ReportInterval(now)+settleMargin)
+	for _, verdict := range verdicts {
+		w.options.Logger.Warn("request is held back", "content", verdict.Digest.String(), "source", "own",
+			"servers", verdict.Servers, "in_a_row", verdict.Consecutive, "besides", verdict.UnrelatedExits)
 	}
 	if len(verdicts) > 0 {
 		w.notifyPeers(now)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if again <= 0 || w.evaluationScheduled {
+	if retryIn <= 0 || w.evaluationScheduled {
 		return
 	}
 	w.evaluationScheduled = true
-	time.AfterFunc(again, func() {
+	time.AfterFunc(retryIn, func() {
 		w.mu.Lock()
 		w.evaluationScheduled = false
 		w.mu.Unlock()
@@ -129,15 +132,15 @@
 	})
 }
 
-// notifyPeers tells others at once, unless it was done a moment ago.
+// notifyPeers sends a report at once, at most every minNotifyInterval.
 func (w *Watcher) notifyPeers(now time.Time) {
 	w.mu.Lock()
-	early := now.Sub(w.notifiedAt) >= minNotifyInterval
-	if early {
+	due := now.Sub(w.notifiedAt) >= minNotifyInterval
+	if due {
 		w.notifiedAt = now
 	}
 	w.mu.Unlock()
-	if early {
+	if due {
 		w.options.NotifyPeers()
 	}
 }
