--- a/internal/rollout/baseline_test.go
+++ b/internal/rollout/baseline_test.go
@@ -7,13 +7,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// fixedPolicy is a simpler policy than the board's, with counts that are always up to date.
+// fixedPolicy is a simpler policy than the tracker's. Its counts have no delay.
 type fixedPolicy struct {
 	name string
-	// share goes to the candidate until the end, when all of it does.
+	// share is the candidate's share of the requests until the end, when it gets all of them.
 	share float64
-	// maxFailureShare is the share of failures, of 20 answers at least, above which it is rolled back;
-	// none where it is zero.
+	// maxFailureShare is the share of failures, among at least 20 answers, above which the
+	// version is rolled back. With zero it never is.
 	maxFailureShare float64
 }
 
@@ -21,26 +21,26 @@
 	{"all at once", 1, 0}, {"a tenth, back above 5 in 100 failures", 0.1, 0.05}, {"a tenth, back above 20 in 100 failures", 0.1, 0.2},
 }
 
-// simulateFixedPolicy plays one roll-out by a baseline, in a calm deployment.
-func simulateFixedPolicy(policy fixedPolicy, v candidateModel, seed uint64) simResult {
-	p := &simulation{rng: rand.New(rand.NewPCG(seed, 7)), model: v}
+// simulateFixedPolicy runs one roll-out by a fixed policy, in a deployment without faults.
+func simulateFixedPolicy(policy fixedPolicy, model candidateModel, seed uint64) simResult {
+	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 7)), model: model}
 	answers, failed := 0, 0
 	r := simResult{state: StateRunning}
-	for p.age = 0; p.age < simDuration; p.age += simTick {
+	for sim.age = 0; sim.age < simDuration; sim.age += simTick {
 		for _, route := range simRoutes {
-			n := int(route.requestsPerSecond*simTick.Seconds() + p.rng.Float64())
+			n := int(route.requestsPerSecond*simTick.Seconds() + sim.rng.Float64())
 			for range n {
 				r.requests++
-				if r.state == StateRolledBack || p.rng.Float64() >= policy.share {
+				if r.state == StateRolledBack || sim.rng.Float64() >= policy.share {
 					continue
 				}
 				r.exposed++
-				fails := route.failureRate
-				if p.age >= v.activeFrom && (v.route == "" || v.route == route.name) && (!v.underLoad || policy.share >= 0.5) {
-					fails += (1 - fails) * v.failureRate
+				failureRate := route.failureRate
+				if sim.age >= model.activeFrom && (model.route == "" || model.route == route.name) && (!model.underLoad || policy.share >= 0.5) {
+					failureRate += (1 - failureRate) * model.failureRate
 				}
 				answers++
-				if p.rng.Float64() < fails {
+				if sim.rng.Float64() < failureRate {
 					failed++
 				}
 			}
@@ -55,47 +55,48 @@
 	return r
 }
 
-// TestBaselines: a fixed share with a threshold either rolls back sound versions, of which
-// one route fails by itself, or completes bad ones; all at once gives bad ones everything.
+// TestBaselines compares the tracker with fixed policies. A fixed share with a threshold rolls
+// back sound versions with one route that fails by itself, or completes bad versions. A switch
+// of all requests at once exposes all of them to a bad version.
 func TestBaselines(t *testing.T) {
 	c := qt.New(t)
-	const plays = 20
+	const runs = 20
 	for _, policy := range fixedPolicies {
-		wrong, broken := 0, 0
-		for _, v := range candidateModels {
-			if v.latencyFactor > 1 {
-				// They look at failures alone.
+		wrongOutcomes, overBounds := 0, 0
+		for _, model := range candidateModels {
+			if model.latencyFactor > 1 {
+				// The policies count failures alone.
 				continue
 			}
-			for seed := range plays {
-				r := simulateFixedPolicy(policy, v, uint64(seed+1))
-				if v.isBad() && r.exceedsBounds() {
-					broken++
+			for seed := range runs {
+				r := simulateFixedPolicy(policy, model, uint64(seed+1))
+				if model.isBad() && r.exceedsBounds() {
+					overBounds++
 				}
-				if v.isBad() != (r.state == StateRolledBack) && !undetectable[v.name] {
-					wrong++
+				if model.isBad() != (r.state == StateRolledBack) && !undetectable[model.name] {
+					wrongOutcomes++
 				}
 			}
 		}
-		t.Logf("%-40s %3d wrong, %3d over what a bad version may get", policy.name, wrong, broken)
-		c.Check(wrong > 0, qt.IsTrue, qt.Commentf("%s", policy.name))
+		t.Logf("%-40s %3d wrong outcomes, %3d over the bounds for a bad version", policy.name, wrongOutcomes, overBounds)
+		c.Check(wrongOutcomes > 0, qt.IsTrue, qt.Commentf("%s", policy.name))
 	}
-	wrong, broken := 0, 0
-	for _, v := range candidateModels {
-		if v.latencyFactor > 1 || undetectable[v.name] {
+	wrongOutcomes, overBounds := 0, 0
+	for _, model := range candidateModels {
+		if model.latencyFactor > 1 || undetectable[model.name] {
 			continue
 		}
-		for seed := range plays {
-			r := simulate(8, v, fault{name: "calm"}, uint64(seed+1))
-			if v.isBad() && r.exceedsBounds() {
-				broken++
+		for seed := range runs {
+			r := simulate(8, model, fault{name: "calm"}, uint64(seed+1))
+			if model.isBad() && r.exceedsBounds() {
+				overBounds++
 			}
-			if v.isBad() != (r.state == StateRolledBack) {
-				wrong++
+			if model.isBad() != (r.state == StateRolledBack) {
+				wrongOutcomes++
 			}
 		}
 	}
-	t.Logf("%-40s %3d wrong, %3d over what a bad version may get", "the board", wrong, broken)
-	c.Check(broken, qt.Equals, 0)
-	c.Check(wrong <= 2, qt.IsTrue, qt.Commentf("%d", wrong))
+	t.Logf("%-40s %3d wrong outcomes, %3d over the bounds for a bad version", "the tracker", wrongOutcomes, overBounds)
+	c.Check(overBounds, qt.Equals, 0)
+	c.Check(wrongOutcomes <= 2, qt.IsTrue, qt.Commentf("%d", wrongOutcomes))
 }
--- a/internal/rollout/detector.go
+++ b/internal/rollout/detector.go
@@ -6,71 +6,74 @@
 )
 
 const (
-	// haltThreshold is the evidence, as a logarithm of odds, at which a version is bad: one in a
-	// thousand sound ones gets there by chance on one route while it is watched.
+	// haltThreshold is the evidence, as a logarithm of odds, at which a version is halted. One
+	// in a thousand sound versions reaches it by chance on one route during the trial.
 	haltThreshold = 7.5
-	// shiftHaltThreshold is the same while the candidate gets more than its small share: then each
-	// second costs more requests than the small share does in all.
+	// shiftHaltThreshold replaces haltThreshold during the shift, when each second exposes more
+	// requests than the whole trial.
 	shiftHaltThreshold = 7.0
-	// doubtThreshold is the evidence from which on a version is not moved on to more requests.
+	// doubtThreshold is the evidence from which a version is not shifted to more requests.
 	doubtThreshold = 5.5
-	// minBadAnswers is the least number of bad answers of a bad version.
+	// minBadAnswers is the least number of bad answers needed to halt a version.
 	minBadAnswers = 3
-	// badShareFactor and minBadShareIncrease are how much more often than the stable version a bad one gives
-	// bad answers: several times, and by so much at least.
+	// badShareFactor and minBadShareIncrease define the share of bad answers of a bad version:
+	// that multiple of the stable version's share, and at least that much above it.
 	badShareFactor      = 2.5
 	minBadShareIncrease = 0.15
-	// maxBadShare bounds the share of bad answers that is reckoned with.
+	// maxBadShare bounds the share of bad answers in the likelihood ratio.
 	maxBadShare = 0.95
-	// priorBadShare is the share of bad answers that is taken for usual before the stable version
-	// has shown it, with the weight of priorWeight answers.
+	// priorBadShare is the share of bad answers assumed before the stable version has answered.
+	// It has the weight of priorWeight answers.
 	priorBadShare = 0.05
 	priorWeight   = 10.0
-	// minBaselineBadShare keeps one bad answer in a hundred from being a sign.
+	// minBaselineBadShare is the least share expected of a sound version, so that one bad
+	// answer in a hundred does not count as evidence.
 	minBaselineBadShare = 0.01
-	// longHalfLife halves the weight of older answers of the stable version, and shortHalfLife
-	// in a second mean: a trouble that hits both versions must show in both at once. The higher
-	// of both means counts. With the first alone one sound version in three was rolled back
-	// when all servers began to fail a fifth of their requests (TestMatrix).
+	// longHalfLife and shortHalfLife are the half-lives of two averages over the answers of the
+	// stable version. The higher average counts, because a fault that affects both versions
+	// must show in both at once. With the long one alone, one sound version in three was rolled
+	// back when all servers began to fail a fifth of their requests (TestMatrix).
 	longHalfLife  = 2 * time.Second
 	shortHalfLife = 500 * time.Millisecond
-	// maxSingleServerShare is the share of the bad answers on a route that are from one server alone where
-	// the server is bad and not the version: of three servers of a bad version one has a half
-	// or less. Without it a sound version of which one server failed 0.4 of its requests was
-	// rolled back in three plays of three (TestMatrix).
+	// maxSingleServerShare is the share of the bad answers on a route above which the fault is
+	// that of one server and not of the version. With three servers of a bad version, each has
+	// a half or less. Without this rule a sound version of which one server failed 0.4 of its
+	// requests was rolled back in three runs of three (TestMatrix).
 	maxSingleServerShare = 0.75
 )
 
-// detector tells whether a candidate is worse than the stable version, by a cumulative sum of
-// the evidence on each route and over all of them (CUSUM): it forgets what was good before,
-// so that a version that turns bad later is found as soon as one that is bad from the start.
+// detector decides whether a candidate is worse than the stable version. It keeps a cumulative
+// sum of the evidence (CUSUM) for each route and for all routes combined. The sum never falls
+// below zero, so a version that turns bad late is detected as fast as one that is bad from the
+// start.
 type detector struct {
 	routes map[string]*evidence
-	// servers are the answers of the candidate's servers on each route, and on all under the
-	// empty name.
+	// servers holds the tallies of the candidate's servers by route. The empty route name holds
+	// the sums over all routes.
 	servers    map[string]map[uint32]Tally
 	observedAt time.Time
 }
 
-// evidence is that of one route, or of all under the empty name.
+// evidence compares both versions on one route, or on all routes under the empty name.
 type evidence struct {
 	candidate, stable Tally
-	// longAverage and late are the answers of the stable version, decaying over two half-lives.
+	// longAverage and shortAverage count the answers of the stable version with the two
+	// half-lives.
 	longAverage, shortAverage decayingCount
 	// logOdds is the evidence that the candidate is bad.
 	logOdds float64
 }
 
-// decayingCount counts answers of which older ones have less weight.
+// decayingCount counts answers with exponentially decaying weight.
 type decayingCount struct{ answers, bad float64 }
 
-func (d *decayingCount) add(came Tally, fade float64) {
-	d.answers = d.answers*fade + float64(came.Answers)
-	d.bad = d.bad*fade + float64(came.Bad)
+func (d *decayingCount) add(added Tally, decay float64) {
+	d.answers = d.answers*decay + float64(added.Answers)
+	d.bad = d.bad*decay + float64(added.Bad)
 }
 
-// expectedBadShare returns the share of bad answers that a sound version may show: the one counted,
-// with its uncertainty.
+// expectedBadShare returns the share of bad answers to expect of a sound version: the observed
+// share plus one standard error.
 func (d *decayingCount) expectedBadShare() float64 {
 	weight := d.answers + priorWeight
 	share := (d.bad + priorBadShare*priorWeight) / weight
@@ -81,15 +84,15 @@
 	return &detector{routes: map[string]*evidence{}}
 }
 
-// observe takes over the sums over the deployment as of now.
-func (j *detector) observe(service string, sums Tallies, now time.Time) {
+// observe adds the sums over the deployment as of now.
+func (d *detector) observe(service string, sums Tallies, now time.Time) {
 	candidate, stable := sums.byRoute(service)
 	var allCandidate, allStable Tally
-	var passed time.Duration
-	if !j.observedAt.IsZero() {
-		passed = now.Sub(j.observedAt)
+	var elapsed time.Duration
+	if !d.observedAt.IsZero() {
+		elapsed = now.Sub(d.observedAt)
 	}
-	j.observedAt = now
+	d.observedAt = now
 	for route, tally := range stable {
 		allStable = allStable.add(tally)
 		if _, known := candidate[route]; !known {
@@ -98,40 +101,40 @@
 	}
 	for route, tally := range candidate {
 		allCandidate = allCandidate.add(tally)
-		j.evidenceFor(route).update(tally, stable[route], passed)
+		d.evidenceFor(route).update(tally, stable[route], elapsed)
 	}
-	j.evidenceFor("").update(allCandidate, allStable, passed)
-	j.servers = sums.byServer(service)
+	d.evidenceFor("").update(allCandidate, allStable, elapsed)
+	d.servers = sums.byServer(service)
 }
 
-func (j *detector) evidenceFor(name string) *evidence {
-	if j.routes[name] == nil {
-		j.routes[name] = &evidence{}
+func (d *detector) evidenceFor(name string) *evidence {
+	if d.routes[name] == nil {
+		d.routes[name] = &evidence{}
 	}
-	return j.routes[name]
+	return d.routes[name]
 }
 
-// update adds what has come of both versions since so long ago.
-func (e *evidence) update(candidate, stable Tally, passed time.Duration) {
-	came := stable.since(e.stable)
-	e.longAverage.add(came, math.Exp2(-passed.Seconds()/longHalfLife.Seconds()))
-	e.shortAverage.add(came, math.Exp2(-passed.Seconds()/shortHalfLife.Seconds()))
+// update adds the answers of both versions since the last update, which was elapsed ago.
+func (e *evidence) update(candidate, stable Tally, elapsed time.Duration) {
+	added := stable.since(e.stable)
+	e.longAverage.add(added, math.Exp2(-elapsed.Seconds()/longHalfLife.Seconds()))
+	e.shortAverage.add(added, math.Exp2(-elapsed.Seconds()/shortHalfLife.Seconds()))
 	e.stable = stable
 
-	came = candidate.since(e.candidate)
+	added = candidate.since(e.candidate)
 	e.candidate = candidate
-	usual := min(maxBadShare/2, max(minBaselineBadShare, e.longAverage.expectedBadShare(), e.shortAverage.expectedBadShare()))
-	bad := min(maxBadShare, max(badShareFactor*usual, usual+minBadShareIncrease))
-	good := float64(came.Answers - came.Bad)
-	e.logOdds += float64(came.Bad)*math.Log(bad/usual) + good*math.Log((1-bad)/(1-usual))
+	expected := min(maxBadShare/2, max(minBaselineBadShare, e.longAverage.expectedBadShare(), e.shortAverage.expectedBadShare()))
+	bad := min(maxBadShare, max(badShareFactor*expected, expected+minBadShareIncrease))
+	good := float64(added.Answers - added.Bad)
+	e.logOdds += float64(added.Bad)*math.Log(bad/expected) + good*math.Log((1-bad)/(1-expected))
 	e.logOdds = max(0, e.logOdds)
 }
 
-// exceeded returns the route on which the evidence that the candidate is bad reaches a limit;
-// the name is empty for all together.
-func (j *detector) exceeded(limit float64) (route string, reached bool) {
-	for name, e := range j.routes {
-		if e.logOdds >= limit && e.candidate.Bad >= minBadAnswers && j.spreadOverServers(name) {
+// exceeded returns a route on which the evidence against the candidate reaches the threshold.
+// The name is empty for all routes combined.
+func (d *detector) exceeded(threshold float64) (route string, reached bool) {
+	for name, e := range d.routes {
+		if e.logOdds >= threshold && e.candidate.Bad >= minBadAnswers && d.spreadOverServers(name) {
 			return name, true
 		}
 	}
@@ -139,20 +142,21 @@
 }
 
 // answers returns the number of answers of the candidate.
-func (j *detector) answers() int64 {
-	if e := j.routes[""]; e != nil {
+func (d *detector) answers() int64 {
+	if e := d.routes[""]; e != nil {
 		return e.candidate.Answers
 	}
 	return 0
 }
 
-// spreadOverServers reports whether the bad answers on a route are those of the version and not of one
-// server of it, where several have answered.
-func (j *detector) spreadOverServers(route string) bool {
-	var all, most int64
-	for _, tally := range j.servers[route] {
+// spreadOverServers reports whether the bad answers on a route come from several servers, and
+// so from the version and not from one faulty server. It is true where only one server has
+// answered.
+func (d *detector) spreadOverServers(route string) bool {
+	var all, maxBad int64
+	for _, tally := range d.servers[route] {
 		all += tally.Bad
-		most = max(most, tally.Bad)
+		maxBad = max(maxBad, tally.Bad)
 	}
-	return len(j.servers[route]) < 2 || float64(most) <= maxSingleServerShare*float64(all)
+	return len(d.servers[route]) < 2 || float64(maxBad) <= maxSingleServerShare*float64(all)
 }
--- a/internal/rollout/matrix_test.go
+++ b/internal/rollout/matrix_test.go
@@ -9,8 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// seedsPerCell is the number of plays of each cell; by hand 20 are played.
-var seedsPerCell = flag.Int("rollout.seeds", 2, "plays of each cell of the matrix of roll-outs")
+// seedsPerCell is the number of simulations of each cell. Manual runs use 20.
+var seedsPerCell = flag.Int("rollout.seeds", 2, "simulations of each cell of the matrix of roll-outs")
 
 var candidateModels = []candidateModel{
 	{name: "sound"},
@@ -31,34 +31,35 @@
 	{name: "three times the requests", trafficFactor: 3},
 }
 
-// masksFailures reports whether a trouble makes all servers fail as often as a version that fails a
-// fifth, or nearly: then it is not told from a sound one in time.
-func masksFailures(tr fault, v candidateModel) bool {
-	return (tr.failingStableShare > 0 || tr.allServersFailureRate > 0) && v.failureRate > 0 && v.failureRate <= 0.2
+// masksFailures reports whether a fault makes all servers fail about as often as a version that
+// fails a fifth of its requests or less. Such a version cannot be told from a sound one in
+// time.
+func masksFailures(f fault, model candidateModel) bool {
+	return (f.failingStableShare > 0 || f.allServersFailureRate > 0) && model.failureRate > 0 && model.failureRate <= 0.2
 }
 
-// undetectable are versions whose badness is no more than what a sound one may show by chance in
-// the time that an order gives, or on too few requests to be told from it. They still must
-// not get more than they may.
+// undetectable names versions whose bad answers are no more than a sound version may show by
+// chance in the time that an order gives, or come on too few requests. They must still stay
+// within the bounds, but TestMatrix does not check that.
 var undetectable = map[string]bool{
 	"fails 5 in 100": true, "fails 40 in 100 on a rare route": true, "fails 40 in 100 on the failing route": true,
 }
 
-// cellResult is what came of all plays of one version beside one trouble.
+// cellResult sums up all simulations of one version under one fault.
 type cellResult struct {
 	runs, exceeded, rolledBack, completed  int
 	maxExposedShare, maxExposedLateSeconds float64
 }
 
-func simulateCell(daemons int, v candidateModel, tr fault, seeds int) cellResult {
+func simulateCell(daemons int, model candidateModel, f fault, seedCount int) cellResult {
 	var c cellResult
-	for seed := range seeds {
-		r := simulate(daemons, v, tr, uint64(seed+1))
+	for seed := range seedCount {
+		r := simulate(daemons, model, f, uint64(seed+1))
 		c.runs++
 		c.maxExposedShare = max(c.maxExposedShare, float64(r.exposed)/float64(r.requests))
 		c.maxExposedLateSeconds = max(c.maxExposedLateSeconds, r.exposedLate.Seconds())
 		switch {
-		case v.isBad() && r.exceedsBounds():
+		case model.isBad() && r.exceedsBounds():
 			c.exceeded++
 		}
 		switch r.state {
@@ -71,31 +72,33 @@
 	return c
 }
 
-// TestMatrix plays versions by numbers of daemons and troubles. A bad version never gets more
-// than it may, whatever happens; one that shows is rolled back; a sound one is completed.
+// TestMatrix runs each version with several numbers of daemons and under each fault. A bad
+// version that can be detected stays within its bounds and is not completed, whatever the
+// fault. A sound version is completed.
 func TestMatrix(t *testing.T) {
 	for _, daemons := range []int{8, 70, 300} {
-		seeds, troubles := *seedsPerCell, faults
-		if daemons == 300 && seeds <= 2 {
-			// A play takes forty times as long as with 8: without being asked, the calm ones.
-			seeds, troubles = 1, faults[:1]
+		seedCount, runFaults := *seedsPerCell, faults
+		if daemons == 300 && seedCount <= 2 {
+			// A simulation of 300 daemons takes forty times as long as one of 8. Unless more
+			// seeds are requested, only the one without faults runs.
+			seedCount, runFaults = 1, faults[:1]
 		}
-		for _, v := range candidateModels {
-			t.Run(fmt.Sprintf("%d daemons, %s", daemons, v.name), func(t *testing.T) {
+		for _, model := range candidateModels {
+			t.Run(fmt.Sprintf("%d daemons, %s", daemons, model.name), func(t *testing.T) {
 				t.Parallel()
-				for _, tr := range troubles {
+				for _, f := range runFaults {
 					c := qt.New(t)
-					got := simulateCell(daemons, v, tr, seeds)
-					t.Logf("%-34s %2d plays, %2d broken, %2d rolled back, %2d completed, exposed %.3f at most, last %.1f s after the 50th bad answer",
-						tr.name, got.runs, got.exceeded, got.rolledBack, got.completed, got.maxExposedShare, got.maxExposedLateSeconds)
-					note := qt.Commentf("%s", tr.name)
+					result := simulateCell(daemons, model, f, seedCount)
+					t.Logf("%-34s %2d runs, %2d over the bounds, %2d rolled back, %2d completed, exposed share %.3f at most, last request %.1f s after the 50th bad answer",
+						f.name, result.runs, result.exceeded, result.rolledBack, result.completed, result.maxExposedShare, result.maxExposedLateSeconds)
+					note := qt.Commentf("%s", f.name)
 					switch {
-					case !v.isBad() && !tr.oneCandidateServerFails:
-						c.Check(got.completed, qt.Equals, got.runs, note)
-					case !v.isBad(), undetectable[v.name], masksFailures(tr, v):
+					case !model.isBad() && !f.oneCandidateServerFails:
+						c.Check(result.completed, qt.Equals, result.runs, note)
+					case !model.isBad(), undetectable[model.name], masksFailures(f, model):
 					default:
-						c.Check(got.exceeded, qt.Equals, 0, note)
-						c.Check(got.completed, qt.Equals, 0, note)
+						c.Check(result.exceeded, qt.Equals, 0, note)
+						c.Check(result.completed, qt.Equals, 0, note)
 					}
 				}
 			})
@@ -103,52 +106,52 @@
 	}
 }
 
-// TestMistakesShow: each of these mistakes, put in on purpose, makes a bad version get more
-// than it may, or be completed, in plays that go well without it.
+// TestMistakesShow guards the matrix against checks that detect nothing: each injected bug lets
+// a bad version exceed its bounds or be completed, in simulations that succeed without the bug.
 func TestMistakesShow(t *testing.T) {
-	eachTrial := func(change func(t *rolloutState)) func(p *simulation) {
-		return func(p *simulation) {
-			for _, b := range p.trackers {
-				for _, t := range b.rollouts {
-					change(t)
+	eachRollout := func(change func(s *rolloutState)) func(sim *simulation) {
+		return func(sim *simulation) {
+			for _, tracker := range sim.trackers {
+				for _, s := range tracker.rollouts {
+					change(s)
 				}
 			}
 		}
 	}
-	for _, m := range []struct {
-		name    string
-		mistake func(p *simulation)
-		version candidateModel
+	for _, bug := range []struct {
+		name   string
+		inject func(sim *simulation)
+		model  candidateModel
 	}{
-		{"the steps to all requests last no time", eachTrial(func(t *rolloutState) { t.shareChangedAt = time.Time{}.Add(1) }), candidateModel{failureRate: 0.4, underLoad: true}},
-		{"bad answers of the version are not counted", func(p *simulation) {
-			for _, b := range p.trackers {
-				for key, tally := range b.localTallies.Answers {
+		{"the steps to all requests last no time", eachRollout(func(s *rolloutState) { s.shareChangedAt = time.Time{}.Add(1) }), candidateModel{failureRate: 0.4, underLoad: true}},
+		{"bad answers of the version are not counted", func(sim *simulation) {
+			for _, tracker := range sim.trackers {
+				for key, tally := range tracker.localTallies.Answers {
 					if key.Server != 0 {
 						tally.Bad = 0
-						b.localTallies.Answers[key] = tally
+						tracker.localTallies.Answers[key] = tally
 					}
 				}
 			}
 		}, candidateModel{failureRate: 0.5}},
-		{"the share allowed is taken for six times as much", func(p *simulation) {
-			for _, b := range p.trackers {
-				b.bounds.Share = 0.6
+		{"the share allowed is taken for six times as much", func(sim *simulation) {
+			for _, tracker := range sim.trackers {
+				tracker.bounds.Share = 0.6
 			}
 		}, candidateModel{latencyFactor: 4, activeFrom: 6 * time.Second}},
 	} {
-		t.Run(m.name, func(t *testing.T) {
+		t.Run(bug.name, func(t *testing.T) {
 			c := qt.New(t)
-			shown := 0
+			detected := 0
 			for seed := range 5 {
-				tr := fault{name: "calm"}
-				well := simulate(8, m.version, tr, uint64(seed+1))
-				c.Check(well.exceedsBounds() || well.state == StateCompleted, qt.IsFalse)
-				if r := simulateWithBug(m.mistake, 8, m.version, tr, uint64(seed+1)); r.exceedsBounds() || r.state == StateCompleted {
-					shown++
+				f := fault{name: "calm"}
+				correct := simulate(8, bug.model, f, uint64(seed+1))
+				c.Check(correct.exceedsBounds() || correct.state == StateCompleted, qt.IsFalse)
+				if r := simulateWithBug(bug.inject, 8, bug.model, f, uint64(seed+1)); r.exceedsBounds() || r.state == StateCompleted {
+					detected++
 				}
 			}
-			c.Check(shown >= 3, qt.IsTrue, qt.Commentf("shows in %d of 5 plays", shown))
+			c.Check(detected >= 3, qt.IsTrue, qt.Commentf("detected in %d of 5 runs", detected))
 		})
 	}
 }
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -6,78 +6,78 @@
 	"time"
 )
 
-// Statuses returns what this daemon tells others of the orders.
-func (b *Tracker) Statuses(now time.Time) []OrderStatus {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	var words []OrderStatus
-	for _, service := range slices.Sorted(maps.Keys(b.rollouts)) {
-		t := b.rollouts[service]
-		if t.order.Revision == 0 {
-			// It is remembered only; what the store has of it is not known yet.
+// Statuses returns the status of each order, for reports to other daemons.
+func (t *Tracker) Statuses(now time.Time) []OrderStatus {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var statuses []OrderStatus
+	for _, service := range slices.Sorted(maps.Keys(t.rollouts)) {
+		s := t.rollouts[service]
+		if s.order.Revision == 0 {
+			// The order comes from a snapshot, and its state in the store is not known yet.
 			continue
 		}
-		word := OrderStatus{Order: t.order, Stable: b.stable[service], Age: now.Sub(t.startedAt), Halted: t.halted}
-		if now.Sub(t.stepReceivedAt) < stepTTL {
-			word.Step = t.step
+		status := OrderStatus{Order: s.order, Stable: t.stable[service], Age: now.Sub(s.startedAt), Halted: s.halted}
+		if now.Sub(s.stepReceivedAt) < stepTTL {
+			status.Step = s.step
 		}
-		words = append(words, word)
+		statuses = append(statuses, status)
 	}
-	return words
+	return statuses
 }
 
-// Merge takes over what another daemon tells of the orders, all of them up to a revision of
-// the store. It returns the versions that are newly known to be bad.
-func (b *Tracker) Merge(words []OrderStatus, read int64, now time.Time) []Halt {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.revision = max(b.revision, read)
+// Merge adds the statuses that another daemon reported. They cover all orders up to a revision
+// of the store. It returns the versions that became known to be bad.
+func (t *Tracker) Merge(statuses []OrderStatus, revision int64, now time.Time) []Halt {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.revision = max(t.revision, revision)
 	var halts []Halt
-	for _, word := range words {
-		if word.Revision == 0 {
+	for _, status := range statuses {
+		if status.Revision == 0 {
 			continue
 		}
-		if word.Stable != "" && b.stable[word.Service] == "" {
-			b.stable[word.Service] = word.Stable
+		if status.Stable != "" && t.stable[status.Service] == "" {
+			t.stable[status.Service] = status.Stable
 		}
-		b.applyOrder(word.Order, now)
-		t := b.rollouts[word.Service]
-		if t == nil || !t.order.same(word.Order) {
+		t.applyOrder(status.Order, now)
+		s := t.rollouts[status.Service]
+		if s == nil || !s.order.same(status.Order) {
 			continue
 		}
-		if begun := now.Add(-word.Age); begun.Before(t.startedAt) {
-			t.startedAt = begun
+		if startedAt := now.Add(-status.Age); startedAt.Before(s.startedAt) {
+			s.startedAt = startedAt
 		}
-		if word.Halted && !t.halted {
-			t.halted, t.haltReason = true, "told by another daemon"
-			halts = append(halts, Halt{Order: t.order, Reason: t.haltReason})
+		if status.Halted && !s.halted {
+			s.halted, s.haltReason = true, "reported by another daemon"
+			halts = append(halts, Halt{Order: s.order, Reason: s.haltReason})
 		}
-		if word.Step.newer(t.step) {
-			t.step, t.stepReceivedAt = word.Step, now
+		if status.Step.newer(s.step) {
+			s.step, s.stepReceivedAt = status.Step, now
 		}
 	}
 	return halts
 }
 
-// Snapshot returns what daemons that start after the death of all should know.
-func (b *Tracker) Snapshot(now time.Time) Snapshot {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	memory := Snapshot{Stable: maps.Clone(b.stable)}
-	for service, t := range b.rollouts {
-		if t.order.State.Ended() {
+// Snapshot returns the state from which daemons start when no other daemon is left.
+func (t *Tracker) Snapshot(now time.Time) Snapshot {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	snapshot := Snapshot{Stable: maps.Clone(t.stable)}
+	for service, s := range t.rollouts {
+		if s.order.State.Ended() {
 			continue
 		}
-		memory.Orders = append(memory.Orders, SavedOrder{
-			Service: service, Version: t.order.Version, Created: t.order.Created, AgeMs: now.Sub(t.startedAt).Milliseconds(), Halted: t.halted,
+		snapshot.Orders = append(snapshot.Orders, SavedOrder{
+			Service: service, Version: s.order.Version, Created: s.order.Created, AgeMs: now.Sub(s.startedAt).Milliseconds(), Halted: s.halted,
 		})
 	}
-	return memory
+	return snapshot
 }
 
-// Snapshot is what is kept for daemons that start.
+// Snapshot is the state stored for daemons that start.
 type Snapshot struct {
-	// Stable are the versions that services have, apart from candidates.
+	// Stable holds the stable version of each service.
 	Stable map[string]string `json:"stable,omitempty"`
 	Orders []SavedOrder      `json:"trials,omitempty"`
 }
@@ -91,29 +91,29 @@
 	Halted  bool   `json:"halted,omitempty"`
 }
 
-// Restore takes over what was remembered, written so long ago.
-func (b *Tracker) Restore(memory Snapshot, ago time.Duration, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for service, version := range memory.Stable {
-		if b.stable[service] == "" {
-			b.stable[service] = version
+// Restore adds the state of a snapshot that was written age ago.
+func (t *Tracker) Restore(snapshot Snapshot, age time.Duration, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for service, version := range snapshot.Stable {
+		if t.stable[service] == "" {
+			t.stable[service] = version
 		}
 	}
-	for _, r := range memory.Orders {
-		t := b.rollouts[r.Service]
-		if t == nil {
-			t = &rolloutState{order: Order{Service: r.Service, Version: r.Version, Created: r.Created}, startedAt: now, detector: newDetector()}
-			b.rollouts[r.Service] = t
+	for _, saved := range snapshot.Orders {
+		s := t.rollouts[saved.Service]
+		if s == nil {
+			s = &rolloutState{order: Order{Service: saved.Service, Version: saved.Version, Created: saved.Created}, startedAt: now, detector: newDetector()}
+			t.rollouts[saved.Service] = s
 		}
-		if t.order.Version != r.Version || t.order.Created != r.Created {
+		if s.order.Version != saved.Version || s.order.Created != saved.Created {
 			continue
 		}
-		if begun := now.Add(-ago - time.Duration(r.AgeMs)*time.Millisecond); begun.Before(t.startedAt) {
-			t.startedAt = begun
+		if startedAt := now.Add(-age - time.Duration(saved.AgeMs)*time.Millisecond); startedAt.Before(s.startedAt) {
+			s.startedAt = startedAt
 		}
-		if r.Halted {
-			t.halted, t.haltReason = true, "known before the start"
+		if saved.Halted {
+			s.halted, s.haltReason = true, "halted before this daemon started"
 		}
 	}
 }
--- a/internal/rollout/tracker.go
+++ b/internal/rollout/tracker.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Tracker is what one daemon knows of the roll-outs. It may be used by several goroutines.
+// Tracker holds the state of all roll-outs at one daemon. It is safe for concurrent use.
 type Tracker struct {
 	bounds Bounds
 
 	mu       sync.Mutex
 	rollouts map[string]*rolloutState
-	// stable are the versions that services have, apart from candidates.
+	// stable holds the stable version of each service.
 	stable map[string]string
 	// revision is the store's revision up to which all orders are known.
 	revision int64
-	// localTallies is what this daemon has counted since each order.
+	// localTallies are the answers and requests that this daemon has counted since each order.
 	localTallies Tallies
-	// rates are how often routes are asked for, by service and route.
+	// rates are the request rates by service and route.
 	rates map[string]map[string]*requestRate
 }
 
-// New returns a board that knows nothing.
+// New returns a Tracker without orders.
 func New(bounds Bounds) *Tracker {
 	return &Tracker{
 		bounds: bounds, rollouts: map[string]*rolloutState{}, stable: map[string]string{}, localTallies: NewTallies(),
@@ -31,124 +31,123 @@
 	}
 }
 
-// Enabled reports whether the operator allows roll-outs. Without it versions do not matter.
-func (b *Tracker) Enabled() bool { return b.bounds.Enabled() }
+// Enabled reports whether the operator allows roll-outs. If not, versions are ignored.
+func (t *Tracker) Enabled() bool { return t.bounds.Enabled() }
 
-// ApplyOrder takes over an order as it stands in the store. It reports whether it is new to this
-// daemon or has another state.
-func (b *Tracker) ApplyOrder(order Order, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.applyOrder(order, now)
+// ApplyOrder applies an order read from the store. It reports whether the order is new to this
+// daemon or its state has changed.
+func (t *Tracker) ApplyOrder(order Order, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.applyOrder(order, now)
 }
 
-func (b *Tracker) applyOrder(order Order, now time.Time) bool {
-	t := b.rollouts[order.Service]
-	if t != nil && order.Revision <= t.order.Revision {
+func (t *Tracker) applyOrder(order Order, now time.Time) bool {
+	s := t.rollouts[order.Service]
+	if s != nil && order.Revision <= s.order.Revision {
 		return false
 	}
-	if t == nil || !t.order.same(order) {
-		t = &rolloutState{startedAt: now, detector: newDetector()}
-		b.rollouts[order.Service] = t
-		b.dropCounts(order.Service)
+	if s == nil || !s.order.same(order) {
+		s = &rolloutState{startedAt: now, detector: newDetector()}
+		t.rollouts[order.Service] = s
+		t.dropCounts(order.Service)
 	}
-	changed := t.order.State != order.State || t.order.Revision == 0
-	t.order = order
+	changed := s.order.State != order.State || s.order.Revision == 0
+	s.order = order
 	if order.State == StateCompleted {
-		b.stable[order.Service] = order.Version
+		t.stable[order.Service] = order.Version
 	}
 	if order.State.Ended() {
-		b.dropCounts(order.Service)
+		t.dropCounts(order.Service)
 	}
 	return changed
 }
 
-// dropCounts drops what was counted for an order.
-func (b *Tracker) dropCounts(service string) {
-	maps.DeleteFunc(b.localTallies.Answers, func(k Key, _ Tally) bool { return k.Service == service })
-	delete(b.localTallies.Requests, service)
+// dropCounts deletes the counts for the order of a service.
+func (t *Tracker) dropCounts(service string) {
+	maps.DeleteFunc(t.localTallies.Answers, func(k Key, _ Tally) bool { return k.Service == service })
+	delete(t.localTallies.Requests, service)
 }
 
-// Withdraw takes over that the order of a service is gone from the store, as of a revision.
-func (b *Tracker) Withdraw(service string, revision int64, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	t := b.rollouts[service]
-	if t == nil || t.order.State.Ended() {
+// Withdraw applies the deletion of a service's order from the store at a revision.
+func (t *Tracker) Withdraw(service string, revision int64, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.rollouts[service]
+	if s == nil || s.order.State.Ended() {
 		return
 	}
-	gone := t.order
-	gone.Revision, gone.State = max(revision, gone.Revision+1), StateWithdrawn
-	b.applyOrder(gone, now)
+	withdrawn := s.order
+	withdrawn.Revision, withdrawn.State = max(revision, withdrawn.Revision+1), StateWithdrawn
+	t.applyOrder(withdrawn, now)
 }
 
-// ReplaceOrders takes over the whole list of orders as of a revision: those missing are withdrawn.
-// unread are services of which an order is there that cannot be read: what is known of theirs
-// stays.
-func (b *Tracker) ReplaceOrders(orders []Order, unread []string, revision int64, now time.Time) {
+// ReplaceOrders applies the complete list of orders at a revision and withdraws those that are
+// missing. unread names services whose stored order cannot be decoded; their known order stays.
+func (t *Tracker) ReplaceOrders(orders []Order, unread []string, revision int64, now time.Time) {
 	present := map[string]bool{}
 	for _, service := range unread {
 		present[service] = true
 	}
 	for _, order := range orders {
 		present[order.Service] = true
-		b.ApplyOrder(order, now)
+		t.ApplyOrder(order, now)
 	}
-	for _, service := range b.orderedServices() {
+	for _, service := range t.orderedServices() {
 		if !present[service] {
-			b.Withdraw(service, revision, now)
+			t.Withdraw(service, revision, now)
 		}
 	}
-	b.AdvanceRevision(revision)
+	t.AdvanceRevision(revision)
 }
 
 // orderedServices returns the services that have an order.
-func (b *Tracker) orderedServices() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return slices.Sorted(maps.Keys(b.rollouts))
+func (t *Tracker) orderedServices() []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return slices.Sorted(maps.Keys(t.rollouts))
 }
 
-// AdvanceRevision notes up to which revision of the store all orders are known.
-func (b *Tracker) AdvanceRevision(revision int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.revision = max(b.revision, revision)
+// AdvanceRevision records that all orders up to a revision of the store are known.
+func (t *Tracker) AdvanceRevision(revision int64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.revision = max(t.revision, revision)
 }
 
 // Revision returns the revision of the store up to which all orders are known.
-func (b *Tracker) Revision() int64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.revision
+func (t *Tracker) Revision() int64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.revision
 }
 
 // Active reports whether any service has an order that has not ended.
-func (b *Tracker) Active() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, t := range b.rollouts {
-		if !t.order.State.Ended() {
+func (t *Tracker) Active() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, s := range t.rollouts {
+		if !s.order.State.Ended() {
 			return true
 		}
 	}
 	return false
 }
 
-// SetInitialStable takes over which versions the servers of a service have, with the number of servers
-// of each. The first time it names the stable version: the one that most have, but for a
-// candidate. Afterwards only a completed roll-out changes it. Only servers may be told whose
-// entries are at most as new as the orders that are known, so that a candidate is not taken
-// for what was there before.
-func (b *Tracker) SetInitialStable(service string, servers map[string]int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.stable[service] != "" {
+// SetInitialStable sets the stable version of a service if it is not known yet: the version
+// that most servers run, other than a candidate. servers is the number of servers by version.
+// Afterwards only a completed roll-out changes the stable version. The servers counted must not
+// be newer in the store than the known orders, so that a candidate is not taken for the stable
+// version.
+func (t *Tracker) SetInitialStable(service string, servers map[string]int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.stable[service] != "" {
 		return
 	}
 	best := ""
 	for _, version := range slices.Sorted(maps.Keys(servers)) {
-		if t := b.rollouts[service]; t != nil && t.order.Version == version && t.order.State != StateCompleted {
+		if s := t.rollouts[service]; s != nil && s.order.Version == version && s.order.State != StateCompleted {
 			continue
 		}
 		if best == "" || servers[version] > servers[best] {
@@ -156,30 +155,29 @@
 		}
 	}
 	if best != "" {
-		b.stable[service] = best
+		t.stable[service] = best
 	}
 }
 
-// Versions are those of a service that may be used.
+// Versions are the versions of a service that may get requests.
 type Versions struct {
 	Stable string
 	// Candidate is empty where there is none.
 	Candidate string
-	// AllServers is set once every server of the candidate is used, not just a few.
+	// AllServers is set once all servers of the candidate are used, and not only a few.
 	AllServers bool
 }
 
-// Versions returns which versions of each service's servers may be used now. Of a service
-// that is missing there none may be used.
-func (b *Tracker) Versions(now time.Time) map[string]Versions {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	all := make(map[string]Versions, len(b.stable))
-	for service, stable := range b.stable {
+// Versions returns the usable versions by service. A service that is missing has none.
+func (t *Tracker) Versions(now time.Time) map[string]Versions {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	all := make(map[string]Versions, len(t.stable))
+	for service, stable := range t.stable {
 		versions := Versions{Stable: stable}
-		if t := b.rollouts[service]; t != nil && t.servesCandidate(stable) {
-			versions.Candidate = t.order.Version
-			versions.AllServers = t.requestedShare(now) > 0
+		if s := t.rollouts[service]; s != nil && s.servesCandidate(stable) {
+			versions.Candidate = s.order.Version
+			versions.AllServers = s.requestedShare(now) > 0
 		}
 		all[service] = versions
 	}
@@ -187,131 +185,131 @@
 }
 
 // StableKnown reports whether the stable version of a service is known.
-func (b *Tracker) StableKnown(service string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.stable[service] != ""
+func (t *Tracker) StableKnown(service string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.stable[service] != ""
 }
 
-// AssignRequest counts a request for a service and returns whether it goes to the candidate. draw is
-// uniform in [0, 1).
-func (b *Tracker) AssignRequest(service, route string, once bool, draw float64, now time.Time) bool {
-	if !b.Enabled() {
+// AssignRequest counts a request for a service and reports whether it goes to the candidate.
+// nonIdempotent is set for a request that may run at most once; draw is uniform in [0, 1).
+func (t *Tracker) AssignRequest(service, route string, nonIdempotent bool, draw float64, now time.Time) bool {
+	if !t.Enabled() {
 		return false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.routeRate(service, route, once).add(now)
-	t := b.rollouts[service]
-	if t == nil || !t.servesCandidate(b.stable[service]) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.routeRate(service, route, nonIdempotent).add(now)
+	s := t.rollouts[service]
+	if s == nil || !s.servesCandidate(t.stable[service]) {
 		return false
 	}
-	sent := b.localTallies.Requests[service]
-	sent.Requests++
-	b.localTallies.Requests[service] = sent
-	if share := t.requestedShare(now); share > 0 {
+	counts := t.localTallies.Requests[service]
+	counts.Requests++
+	t.localTallies.Requests[service] = counts
+	if share := s.requestedShare(now); share > 0 {
 		return draw < share
 	}
-	return draw < b.routeShare(t, service, route, now)
+	return draw < t.routeShare(s, service, route, now)
 }
 
 // FullyShifted reports whether all requests of a service go to the candidate.
-func (b *Tracker) FullyShifted(service string, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	t := b.rollouts[service]
-	return t != nil && t.servesCandidate(b.stable[service]) && t.requestedShare(now) >= 1
+func (t *Tracker) FullyShifted(service string, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.rollouts[service]
+	return s != nil && s.servesCandidate(t.stable[service]) && s.requestedShare(now) >= 1
 }
 
 // RecordExposure counts a request that was sent to the candidate.
-func (b *Tracker) RecordExposure(service string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	sent := b.localTallies.Requests[service]
-	sent.Exposed++
-	b.localTallies.Requests[service] = sent
+func (t *Tracker) RecordExposure(service string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	counts := t.localTallies.Requests[service]
+	counts.Exposed++
+	t.localTallies.Requests[service] = counts
 }
 
-// RecordAnswer takes over how a server answered.
-func (b *Tracker) RecordAnswer(a Answer) {
-	if !b.Enabled() {
+// RecordAnswer counts the answer of a server.
+func (t *Tracker) RecordAnswer(a Answer) {
+	if !t.Enabled() {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	t := b.rollouts[a.Service]
-	if t == nil || t.order.State.Ended() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.rollouts[a.Service]
+	if s == nil || s.order.State.Ended() {
 		return
 	}
 	key := Key{Service: a.Service, Route: a.Route, Server: a.Server}
-	one := Tally{Answers: 1}
-	if a.Failed || t.baselines[a.Route].slow(a) {
-		one.Bad = 1
+	tally := Tally{Answers: 1}
+	if a.Failed || s.baselines[a.Route].slow(a) {
+		tally.Bad = 1
 	}
 	if a.Server == 0 && !a.Failed {
-		one.LatencySum, one.EventIntervalSum = relativeLatency(a), a.EventInterval.Seconds()
+		tally.LatencySum, tally.EventIntervalSum = relativeLatency(a), a.EventInterval.Seconds()
 	}
-	b.localTallies.Answers[key] = b.localTallies.Answers[key].add(one)
+	t.localTallies.Answers[key] = t.localTallies.Answers[key].add(tally)
 }
 
-// LocalTallies returns what this daemon has counted.
-func (b *Tracker) LocalTallies() Tallies {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.localTallies.Clone()
+// LocalTallies returns a copy of the counts of this daemon.
+func (t *Tracker) LocalTallies() Tallies {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.localTallies.Clone()
 }
 
-// Halt is a version that was found to be bad.
+// Halt describes a version that was found to be bad.
 type Halt struct {
 	Order Order
-	// Reason names the route on which it showed, or how it was learned.
+	// Reason names the route with the bad answers, or the source of the halt.
 	Reason  string
 	Answers int64
 }
 
-// Observe takes over the sums over all daemons that are heard, this one included, and
-// returns the versions that this daemon finds to be bad now.
-func (b *Tracker) Observe(sums Tallies, now time.Time) []Halt {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Observe applies the sums over all reachable daemons, including this one, and returns the
+// versions that are now found to be bad.
+func (t *Tracker) Observe(sums Tallies, now time.Time) []Halt {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var halts []Halt
-	for service, t := range b.rollouts {
-		if !t.servesCandidate(b.stable[service]) {
+	for service, s := range t.rollouts {
+		if !s.servesCandidate(t.stable[service]) {
 			continue
 		}
-		if sent := sums.Requests[service]; t.countingSince.IsZero() || sent.Requests < t.requests.Requests {
-			// Daemons that were counted in have fallen silent or started again.
-			t.initialRequests, t.countingSince = sent.Requests, now
+		if counts := sums.Requests[service]; s.countingSince.IsZero() || counts.Requests < s.requests.Requests {
+			// The sums shrink when a daemon stops reporting or restarts.
+			s.initialRequests, s.countingSince = counts.Requests, now
 		}
-		t.requests = sums.Requests[service]
+		s.requests = sums.Requests[service]
 		_, stable := sums.byRoute(service)
-		t.baselines = map[string]latencyBaseline{}
+		s.baselines = map[string]latencyBaseline{}
 		for route, tally := range stable {
-			t.baselines[route] = baselineOf(tally)
+			s.baselines[route] = baselineOf(tally)
 		}
-		t.detector.observe(service, sums, now)
-		limit := haltThreshold
-		if t.requestedShare(now) > 0 {
-			limit = shiftHaltThreshold
+		s.detector.observe(service, sums, now)
+		threshold := haltThreshold
+		if s.requestedShare(now) > 0 {
+			threshold = shiftHaltThreshold
 		}
-		route, bad := t.detector.exceeded(limit)
+		route, bad := s.detector.exceeded(threshold)
 		if !bad {
 			continue
 		}
 		if route == "" {
-			route = "all routes together"
+			route = "all routes combined"
 		}
-		t.halted, t.haltReason = true, "bad answers on "+route
-		halts = append(halts, Halt{Order: t.order, Reason: t.haltReason, Answers: t.detector.answers()})
+		s.halted, s.haltReason = true, "bad answers on "+route
+		halts = append(halts, Halt{Order: s.order, Reason: s.haltReason, Answers: s.detector.answers()})
 	}
 	return halts
 }
 
-// VersionUnsettled reports whether it is open which of a service's servers count: it has an order that
-// has not ended, or its stable version is not known.
-func (b *Tracker) VersionUnsettled(service string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	t := b.rollouts[service]
-	return b.stable[service] == "" || (t != nil && !t.order.State.Ended())
+// VersionUnsettled reports whether a service has an order that has not ended, or no known
+// stable version. It is then open which of its servers count.
+func (t *Tracker) VersionUnsettled(service string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.rollouts[service]
+	return t.stable[service] == "" || (s != nil && !s.order.State.Ended())
 }
--- a/internal/rollout/tracker_test.go
+++ b/internal/rollout/tracker_test.go
@@ -13,98 +13,102 @@
 	return Order{Service: "s", Version: version, Duration: 12 * time.Second, Created: 5, Revision: revision}
 }
 
-// trackerWithStable is a board of a service whose stable version is v1.
+// trackerWithStable returns a tracker of a service whose stable version is v1.
 func trackerWithStable() *Tracker {
-	b := newTestTracker()
-	b.SetInitialStable("s", map[string]int{"v1": 3})
-	return b
+	tracker := newTestTracker()
+	tracker.SetInitialStable("s", map[string]int{"v1": 3})
+	return tracker
 }
 
-// TestStableVersionIsNamedOnce: by most servers, and never by an order that has not ended.
+// TestStableVersionIsNamedOnce checks that the stable version is the one of most servers, never
+// that of an order that has not ended, and that only a completed order changes it.
 func TestStableVersionIsNamedOnce(t *testing.T) {
 	c := qt.New(t)
-	b := newTestTracker()
-	c.Check(b.StableKnown("s"), qt.IsFalse)
-	c.Check(b.VersionUnsettled("s"), qt.IsTrue, qt.Commentf("nothing is ordered before it is known"))
-	b.ApplyOrder(testOrder("v2", 6), startTime)
-	b.SetInitialStable("s", map[string]int{"v2": 9, "v1": 2})
-	c.Check(b.Versions(startTime)["s"], qt.Equals, Versions{Stable: "v1", Candidate: "v2"})
-	b.SetInitialStable("s", map[string]int{"v2": 9})
-	c.Check(b.Versions(startTime)["s"].Stable, qt.Equals, "v1")
-	done := testOrder("v2", 7)
-	done.State = StateCompleted
-	b.ApplyOrder(done, startTime)
-	c.Check(b.Versions(startTime)["s"], qt.Equals, Versions{Stable: "v2"})
-	c.Check(b.VersionUnsettled("s"), qt.IsFalse)
+	tracker := newTestTracker()
+	c.Check(tracker.StableKnown("s"), qt.IsFalse)
+	c.Check(tracker.VersionUnsettled("s"), qt.IsTrue, qt.Commentf("no servers are ordered before the stable version is known"))
+	tracker.ApplyOrder(testOrder("v2", 6), startTime)
+	tracker.SetInitialStable("s", map[string]int{"v2": 9, "v1": 2})
+	c.Check(tracker.Versions(startTime)["s"], qt.Equals, Versions{Stable: "v1", Candidate: "v2"})
+	tracker.SetInitialStable("s", map[string]int{"v2": 9})
+	c.Check(tracker.Versions(startTime)["s"].Stable, qt.Equals, "v1")
+	completed := testOrder("v2", 7)
+	completed.State = StateCompleted
+	tracker.ApplyOrder(completed, startTime)
+	c.Check(tracker.Versions(startTime)["s"], qt.Equals, Versions{Stable: "v2"})
+	c.Check(tracker.VersionUnsettled("s"), qt.IsFalse)
 }
 
-// TestOlderOrdersChangeNothing, and those for another version begin anew.
+// TestOlderOrdersChangeNothing checks that an order of an older revision is ignored, and that
+// an order for another version starts a new roll-out.
 func TestOlderOrdersChangeNothing(t *testing.T) {
 	c := qt.New(t)
-	b := trackerWithStable()
-	b.ApplyOrder(testOrder("v2", 8), startTime)
-	c.Check(b.ApplyOrder(testOrder("v3", 7), startTime), qt.IsFalse)
-	c.Check(b.Versions(startTime)["s"].Candidate, qt.Equals, "v2")
-	b.Merge([]OrderStatus{{Order: testOrder("v2", 8), Halted: true}}, 0, startTime)
-	c.Check(b.Versions(startTime)["s"].Candidate, qt.Equals, "")
-	b.ApplyOrder(testOrder("v3", 9), startTime)
-	c.Check(b.Versions(startTime)["s"].Candidate, qt.Equals, "v3")
-	b.Withdraw("s", 10, startTime)
-	c.Check(b.Versions(startTime)["s"].Candidate, qt.Equals, "")
+	tracker := trackerWithStable()
+	tracker.ApplyOrder(testOrder("v2", 8), startTime)
+	c.Check(tracker.ApplyOrder(testOrder("v3", 7), startTime), qt.IsFalse)
+	c.Check(tracker.Versions(startTime)["s"].Candidate, qt.Equals, "v2")
+	tracker.Merge([]OrderStatus{{Order: testOrder("v2", 8), Halted: true}}, 0, startTime)
+	c.Check(tracker.Versions(startTime)["s"].Candidate, qt.Equals, "")
+	tracker.ApplyOrder(testOrder("v3", 9), startTime)
+	c.Check(tracker.Versions(startTime)["s"].Candidate, qt.Equals, "v3")
+	tracker.Withdraw("s", 10, startTime)
+	c.Check(tracker.Versions(startTime)["s"].Candidate, qt.Equals, "")
 }
 
-// TestMemoryOutlivesAllDaemons: what was found bad stays so, and what is remembered alone
-// gets nothing before the store tells it.
+// TestMemoryOutlivesAllDaemons checks that a halt survives in the snapshot, and that an order
+// known from the snapshot alone gets no requests before it is read from the store.
 func TestMemoryOutlivesAllDaemons(t *testing.T) {
 	c := qt.New(t)
-	b := trackerWithStable()
-	b.ApplyOrder(testOrder("v2", 8), startTime)
-	b.Merge([]OrderStatus{{Order: testOrder("v2", 8), Halted: true}}, 0, startTime)
-	again := newTestTracker()
+	tracker := trackerWithStable()
+	tracker.ApplyOrder(testOrder("v2", 8), startTime)
+	tracker.Merge([]OrderStatus{{Order: testOrder("v2", 8), Halted: true}}, 0, startTime)
+	restarted := newTestTracker()
 	later := startTime.Add(4 * time.Second)
-	again.Restore(b.Snapshot(startTime.Add(3*time.Second)), time.Second, later)
-	c.Check(again.Versions(later)["s"], qt.Equals, Versions{Stable: "v1"})
-	again.ApplyOrder(testOrder("v2", 8), later)
-	c.Check(again.Versions(later)["s"], qt.Equals, Versions{Stable: "v1"})
-	words := again.Statuses(later)
-	c.Assert(words, qt.HasLen, 1)
-	c.Check(words[0].Age, qt.Equals, 4*time.Second)
+	restarted.Restore(tracker.Snapshot(startTime.Add(3*time.Second)), time.Second, later)
+	c.Check(restarted.Versions(later)["s"], qt.Equals, Versions{Stable: "v1"})
+	restarted.ApplyOrder(testOrder("v2", 8), later)
+	c.Check(restarted.Versions(later)["s"], qt.Equals, Versions{Stable: "v1"})
+	statuses := restarted.Statuses(later)
+	c.Assert(statuses, qt.HasLen, 1)
+	c.Check(statuses[0].Age, qt.Equals, 4*time.Second)
 }
 
-// TestStepsExpire: a daemon that does not hear the holder any more falls back to its own share.
+// TestStepsExpire checks that a daemon that receives no further step from the lease holder
+// returns to its trial share.
 func TestStepsExpire(t *testing.T) {
 	c := qt.New(t)
-	b := trackerWithStable()
-	b.Merge([]OrderStatus{{Order: testOrder("v2", 8), Step: Step{Share: 1, Fence: 3, Serial: 9}}}, 0, startTime)
-	c.Check(b.FullyShifted("s", startTime), qt.IsTrue)
-	b.Merge([]OrderStatus{{Order: testOrder("v2", 8), Step: Step{Share: 0.25, Fence: 2, Serial: 99}}}, 0, startTime)
-	c.Check(b.FullyShifted("s", startTime), qt.IsTrue, qt.Commentf("an earlier holder's word"))
-	c.Check(b.FullyShifted("s", startTime.Add(stepTTL)), qt.IsFalse)
-	c.Check(b.Versions(startTime.Add(stepTTL))["s"].AllServers, qt.IsFalse)
+	tracker := trackerWithStable()
+	tracker.Merge([]OrderStatus{{Order: testOrder("v2", 8), Step: Step{Share: 1, Fence: 3, Serial: 9}}}, 0, startTime)
+	c.Check(tracker.FullyShifted("s", startTime), qt.IsTrue)
+	tracker.Merge([]OrderStatus{{Order: testOrder("v2", 8), Step: Step{Share: 0.25, Fence: 2, Serial: 99}}}, 0, startTime)
+	c.Check(tracker.FullyShifted("s", startTime), qt.IsTrue, qt.Commentf("step of an earlier lease holder"))
+	c.Check(tracker.FullyShifted("s", startTime.Add(stepTTL)), qt.IsFalse)
+	c.Check(tracker.Versions(startTime.Add(stepTTL))["s"].AllServers, qt.IsFalse)
 }
 
-// TestLowTrafficRaisesTrialShare: the requests that a bad version may get besides its share
-// count where they are many against all.
+// TestLowTrafficRaisesTrialShare checks that Bounds.Slack raises the trial share where it is
+// large against the number of requests.
 func TestLowTrafficRaisesTrialShare(t *testing.T) {
-	for _, play := range []struct {
-		perSecond, least, most float64
+	for _, test := range []struct {
+		perSecond, minShare, maxShare float64
 	}{{12, 0.15, 0.17}, {113, 0.05, 0.06}, {268, 0.045, 0.048}, {9000, 0.04, 0.0402}} {
 		c := qt.New(t)
-		b := trackerWithStable()
-		b.ApplyOrder(testOrder("v2", 8), startTime)
+		tracker := trackerWithStable()
+		tracker.ApplyOrder(testOrder("v2", 8), startTime)
 		now := startTime
 		for range 20 {
 			sums := NewTallies()
-			sums.Requests["s"] = RequestCounts{Requests: int64(play.perSecond * now.Sub(startTime).Seconds())}
-			b.Observe(sums, now)
+			sums.Requests["s"] = RequestCounts{Requests: int64(test.perSecond * now.Sub(startTime).Seconds())}
+			tracker.Observe(sums, now)
 			now = now.Add(200 * time.Millisecond)
 		}
-		share := b.trialShare(b.rollouts["s"], now)
-		c.Check(share >= play.least && share <= play.most, qt.IsTrue, qt.Commentf("%v of %v a second", share, play.perSecond))
+		share := tracker.trialShare(tracker.rollouts["s"], now)
+		c.Check(share >= test.minShare && share <= test.maxShare, qt.IsTrue, qt.Commentf("share %v at %v requests a second", share, test.perSecond))
 	}
 }
 
-// TestSplitShareBalancesRoutes: routes give the candidate as many requests each, within their bound.
+// TestSplitShareBalancesRoutes checks that all routes send the candidate the same number of
+// requests, within maxRouteShare.
 func TestSplitShareBalancesRoutes(t *testing.T) {
 	c := qt.New(t)
 	shares := splitShare(map[string]float64{"often": 92, "seldom": 21, "rare": 1}, 0.05)
