--- a/internal/duty/elector.go
+++ b/internal/duty/elector.go
@@ -1,5 +1,5 @@
-// Package duty does what one daemon at a time does for the whole deployment: it
-// keeps the lease, reports usage and orders backend servers.
+// Package duty runs the tasks that one daemon at a time performs for the whole deployment: it
+// holds the lease, reports usage and orders backend servers.
 package duty
 
 import (
@@ -16,23 +16,24 @@
 	"github.com/plankridge/plankridge/internal/usage"
 )
 
-// The lease's place in the store.
+// The kind and name of the lease object in the store.
 const (
 	LeaseKind = "plankridge-leases"
 	LeaseName = "cloud"
 )
 
-// ErrDeclined means that the cloud did nothing: it has seen a higher fencing
-// number, or has no such server to give.
-var ErrDeclined = errors.New("cloud declined")
+// ErrDeclined means that the cloud took no action, because it has seen a higher fencing number
+// or has no such server available.
+var ErrDeclined = errors.New("cloud declined the call")
 
-// FencingToken is the right to act, as the cloud checks it.
+// FencingToken identifies a lease holder to the cloud, which rejects calls with an older
+// fencing number.
 type FencingToken struct {
 	Holder string
 	Fence  int64
 }
 
-// Order asks for a number of servers of one market in one zone.
+// Order requests a number of servers of one market in one zone.
 type Order struct {
 	Service     string
 	Zone        string
@@ -40,44 +41,45 @@
 	Count       int
 }
 
-// Cloud takes the calls of the holder.
+// Cloud receives the calls of the lease holder.
 type Cloud interface {
-	ReportUsage(ctx context.Context, right FencingToken, window int64, counts usage.Counts) error
-	Scale(ctx context.Context, right FencingToken, order Order) error
+	ReportUsage(ctx context.Context, token FencingToken, window int64, counts usage.Counts) error
+	Scale(ctx context.Context, token FencingToken, order Order) error
 }
 
-// Peers tells what is known of the other daemons' part in the lease.
+// Peers reports the state of the other daemons, as far as it matters for the lease.
 type Peers interface {
-	// HolderReachable reports whether another daemon that is heard holds the lease.
+	// HolderReachable reports whether another daemon that can be reached holds the lease.
 	HolderReachable() bool
-	// Rank is this daemon's place among those that are heard, from zero.
+	// Rank returns this daemon's position among the reachable daemons, from zero.
 	Rank() int
-	// AllReachable reports whether every known daemon is heard, directly or through
-	// the leads of the zones.
+	// AllReachable reports whether every known daemon can be reached, directly or through the
+	// leads of the zones.
 	AllReachable() bool
-	// Zone returns this daemon's zone, whether it sums up what the daemons of the
-	// zone report, and whether others may not hear what it tells.
-	Zone() (name string, sums, cut bool)
+	// Zone returns this daemon's zone, whether the daemon aggregates the reports of the zone,
+	// and whether other daemons may not receive its reports.
+	Zone() (name string, sumsZone, isolated bool)
 }
 
 const (
-	// leaseTick is how often the lease is looked at.
+	// leaseTick is the time between two checks of the lease.
 	leaseTick = 100 * time.Millisecond
-	// renewInterval is the time between renewals. What daemons should know after the death
-	// of all stands beside them: with a second between them, a workspace that began to
-	// ask for four times its allowance some second before got up to 1.13 of what the rule
-	// allows, with half a second 1.06 (histories of 300 daemons, offsets of 0.2 to 2.2 s). A
-	// renewal more a second costs a calm day 0.001 of its worth, by the price of its calls.
+	// renewInterval is the time between renewals. Each renewal also writes the state from which
+	// daemons start when no other is left. With a second between renewals, a workspace that
+	// began to ask for four times its allowance about a second before got up to 1.13 of what
+	// the rule allows; with half a second, 1.06 (histories of 300 daemons, offsets of 0.2 to
+	// 2.2 s). One more renewal a second costs 0.001 of the value of a calm day, by the price of
+	// its calls.
 	renewInterval = 500 * time.Millisecond
-	// renewRetryInterval is the time between tries of a renewal that fails.
+	// renewRetryInterval is the time between attempts at a renewal that fails.
 	renewRetryInterval = 300 * time.Millisecond
-	// acquireInterval is the time between two looks at a lease without a known
-	// holder, and turn the time by which each daemon in rank waits longer.
+	// acquireInterval is the time between two attempts to acquire a lease without a known
+	// holder. Each daemon waits longer by its rank times rankDelay.
 	acquireInterval = 500 * time.Millisecond
 	rankDelay       = 500 * time.Millisecond
 )
 
-// Options are what a Holder works with.
+// Options configure an Elector.
 type Options struct {
 	Self string
 	// Address is where the daemon listens for its peers.
@@ -88,42 +90,43 @@
 	Store    store.Store
 	Peers    Peers
 	Logger   *slog.Logger
-	// NotifyPeers spreads a change of the holder.
+	// NotifyPeers reports a change of the holder to the peers at once.
 	NotifyPeers func()
-	// BuildMemory returns what is written beside each renewal, in place of what stands there.
-	BuildMemory func(standing lease.Snapshot) lease.Snapshot
-	// Now is the clock of the lease; nil is one that goes on while the VM is suspended.
+	// BuildMemory returns the memory to write with a renewal, which replaces the recorded one.
+	BuildMemory func(recorded lease.Snapshot) lease.Snapshot
+	// Now is the clock of the lease. The default is a clock that advances while the VM is
+	// suspended.
 	Now func() time.Time
-	// OnMemory takes over what a record that was read says.
+	// OnMemory receives the memory of each record that is read.
 	OnMemory func(lease.Snapshot)
 }
 
-// Elector keeps the lease for one daemon.
+// Elector acquires and renews the lease for one daemon.
 type Elector struct {
 	options Options
 
 	mu     sync.Mutex
 	keeper *lease.Tracker
-	// writeSlot is full while a write of the record is under way. It is no mutex, so
-	// that who waits for it can give up.
+	// writeSlot is full while a write of the record is in progress. It is a channel and not a
+	// mutex, so that waiting can be cancelled.
 	writeSlot chan struct{}
-	// renewedAt is when the last renewal that succeeded was begun, tried when the
-	// last one was.
+	// renewedAt is when the last successful renewal began, renewTriedAt when the last attempt
+	// began.
 	renewedAt    time.Time
 	renewTriedAt time.Time
-	// acquireTriedAt is when the lease was last read to take it, holderSeenAt when another
-	// holder was last heard.
+	// acquireTriedAt is when the lease was last read to acquire it, holderSeenAt when another
+	// holder was last reachable.
 	acquireTriedAt time.Time
 	holderSeenAt   time.Time
-	// wasHeld is whether this daemon held the lease at the last look.
+	// wasHeld is whether this daemon held the lease at the last check.
 	wasHeld   bool
 	releasing bool
-	// succeedsOwnLease is set when an earlier process of this VM held the lease, which nobody else
-	// will take before it lapses.
+	// succeedsOwnLease is set when an earlier process of this VM held the lease, which no other
+	// daemon can acquire before it expires.
 	succeedsOwnLease bool
 }
 
-// NewElector returns a holder that does not hold the lease.
+// NewElector returns an Elector that does not hold the lease.
 func NewElector(options Options) *Elector {
 	if options.Now == nil {
 		options.Now = steady.Now
@@ -133,24 +136,24 @@
 	return &Elector{options: options, keeper: keeper, writeSlot: make(chan struct{}, 1)}
 }
 
-// Token returns the right to act, if this daemon has it now.
-func (h *Elector) Token() (FencingToken, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	fence, ok := h.keeper.Holds(h.options.Now())
-	return FencingToken{Holder: h.options.Self, Fence: fence}, ok && !h.releasing
+// Token returns the fencing token, and whether this daemon may act with it now.
+func (e *Elector) Token() (FencingToken, bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	fence, ok := e.keeper.Holds(e.options.Now())
+	return FencingToken{Holder: e.options.Self, Fence: fence}, ok && !e.releasing
 }
 
-// Run keeps the lease until the context ends.
-func (h *Elector) Run(ctx context.Context) {
-	// Who comes first is known once daemons have heard each other. Were all to look at
-	// once, a start of 300 daemons would cost as many calls more.
-	now := h.options.Now()
-	h.locked(func() { h.holderSeenAt, h.acquireTriedAt = now, now })
+// Run acquires and renews the lease until the context ends.
+func (e *Elector) Run(ctx context.Context) {
+	// The ranks are known once the daemons have exchanged reports. If all daemons read the
+	// lease at once, a start of 300 daemons would cost as many more calls.
+	now := e.options.Now()
+	e.locked(func() { e.holderSeenAt, e.acquireTriedAt = now, now })
 	ticker := time.NewTicker(leaseTick)
 	defer ticker.Stop()
 	for {
-		h.step(ctx, h.options.Now())
+		e.step(ctx, e.options.Now())
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -159,97 +162,97 @@
 	}
 }
 
-func (h *Elector) step(ctx context.Context, now time.Time) {
-	_, holds := h.Token()
-	h.recordTransition(holds)
+func (e *Elector) step(ctx context.Context, now time.Time) {
+	_, holds := e.Token()
+	e.recordTransition(holds)
 	switch {
-	case h.isReleasing():
+	case e.isReleasing():
 	case holds:
-		if h.renewalDue(now) {
-			h.renew(ctx, nil)
+		if e.renewalDue(now) {
+			e.renew(ctx, nil)
 		}
-	case h.options.Peers.HolderReachable():
-		h.locked(func() { h.holderSeenAt = now })
-	case h.acquireDue(now):
-		h.locked(func() { h.acquireTriedAt, h.succeedsOwnLease = now, false })
-		h.tryAcquire(ctx)
+	case e.options.Peers.HolderReachable():
+		e.locked(func() { e.holderSeenAt = now })
+	case e.acquireDue(now):
+		e.locked(func() { e.acquireTriedAt, e.succeedsOwnLease = now, false })
+		e.tryAcquire(ctx)
 	}
 }
 
-func (h *Elector) renewalDue(now time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return now.Sub(h.renewedAt) >= renewInterval && now.Sub(h.renewTriedAt) >= renewRetryInterval
+func (e *Elector) renewalDue(now time.Time) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return now.Sub(e.renewedAt) >= renewInterval && now.Sub(e.renewTriedAt) >= renewRetryInterval
 }
 
-func (h *Elector) locked(change func()) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (e *Elector) locked(change func()) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	change()
 }
 
-func (h *Elector) isReleasing() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.releasing
+func (e *Elector) isReleasing() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.releasing
 }
 
-func (h *Elector) recordTransition(holds bool) {
-	if holds == h.wasHeld {
+func (e *Elector) recordTransition(holds bool) {
+	if holds == e.wasHeld {
 		return
 	}
-	h.wasHeld = holds
-	right, _ := h.Token()
-	h.options.Logger.Info("lease changed", "held", holds, "fence", right.Fence)
-	h.options.NotifyPeers()
+	e.wasHeld = holds
+	token, _ := e.Token()
+	e.options.Logger.Info("lease changed", "held", holds, "fence", token.Fence)
+	e.options.NotifyPeers()
 }
 
-// acquireDue lets the daemons look at a lease without a known holder one after the
-// other, so that they seldom contend.
-func (h *Elector) acquireDue(now time.Time) bool {
-	patience := time.Duration(h.options.Peers.Rank()) * rankDelay
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.succeedsOwnLease || now.Sub(h.holderSeenAt) >= patience && now.Sub(h.acquireTriedAt) >= acquireInterval+patience
+// acquireDue makes the daemons read a lease without a known holder one after the other, which
+// keeps write conflicts rare.
+func (e *Elector) acquireDue(now time.Time) bool {
+	rankWait := time.Duration(e.options.Peers.Rank()) * rankDelay
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.succeedsOwnLease || now.Sub(e.holderSeenAt) >= rankWait && now.Sub(e.acquireTriedAt) >= acquireInterval+rankWait
 }
 
-// tryAcquire reads the lease and takes it when it is free.
-func (h *Elector) tryAcquire(ctx context.Context) {
-	if !h.refresh(ctx) {
+// tryAcquire reads the lease and acquires it if it is free.
+func (e *Elector) tryAcquire(ctx context.Context) {
+	if !e.refresh(ctx) {
 		return
 	}
-	h.mu.Lock()
-	claim, ok := h.keeper.Claim(h.options.Now())
-	h.mu.Unlock()
+	e.mu.Lock()
+	claim, ok := e.keeper.Claim(e.options.Now())
+	e.mu.Unlock()
 	if !ok {
 		return
 	}
-	if !h.beginWrite(ctx) {
+	if !e.beginWrite(ctx) {
 		return
 	}
-	defer h.endWrite()
-	h.write(ctx, claim)
+	defer e.endWrite()
+	e.write(ctx, claim)
 }
 
-// LoadMemory returns what the last holder knew. Where nobody has ever held the lease it is
-// nothing.
-func (h *Elector) LoadMemory(ctx context.Context) (lease.Snapshot, error) {
-	record, err := h.fetchRecord(ctx)
-	h.locked(func() { h.succeedsOwnLease = err == nil && h.keeper.ReplacesHolder(record) })
+// LoadMemory returns the memory written by the last holder. It is empty where nobody has ever
+// held the lease.
+func (e *Elector) LoadMemory(ctx context.Context) (lease.Snapshot, error) {
+	record, err := e.fetchRecord(ctx)
+	e.locked(func() { e.succeedsOwnLease = err == nil && e.keeper.ReplacesHolder(record) })
 	return record.Snapshot, err
 }
 
-// refresh takes over the record as it is in the store.
-func (h *Elector) refresh(ctx context.Context) bool {
-	_, err := h.fetchRecord(ctx)
+// refresh reads the record from the store and reports whether that succeeded.
+func (e *Elector) refresh(ctx context.Context) bool {
+	_, err := e.fetchRecord(ctx)
 	if err != nil {
-		h.options.Logger.Warn("lease cannot be read", "error", err)
+		e.options.Logger.Warn("failed to read lease", "error", err)
 	}
 	return err == nil
 }
 
-func (h *Elector) fetchRecord(ctx context.Context) (lease.Record, error) {
-	object, err := h.options.Store.Get(ctx, LeaseKind, LeaseName)
+func (e *Elector) fetchRecord(ctx context.Context) (lease.Record, error) {
+	object, err := e.options.Store.Get(ctx, LeaseKind, LeaseName)
 	var record lease.Record
 	switch {
 	case errors.Is(err, store.ErrNotFound):
@@ -257,128 +260,128 @@
 		return lease.Record{}, err
 	default:
 		if err := json.Unmarshal(object.Spec, &record); err != nil {
-			// Another writer was here. Nobody renews what cannot be read: the lease is free
-			// when its duration has passed, like that of a holder that died.
-			h.options.Logger.Error("record of the lease cannot be read", "revision", object.Revision, "error", err)
+			// Another writer has replaced the record. Nobody renews a record that cannot be
+			// decoded, so the lease is free once its duration has passed, like that of a holder
+			// that died.
+			e.options.Logger.Error("failed to decode lease record", "revision", object.Revision, "error", err)
 			record = lease.Record{Holder: unreadableHolder}
 		}
 	}
-	h.locked(func() { h.keeper.Observe(object.Revision, record, h.options.Now()) })
-	if h.options.OnMemory != nil {
-		h.options.OnMemory(record.Snapshot)
+	e.locked(func() { e.keeper.Observe(object.Revision, record, e.options.Now()) })
+	if e.options.OnMemory != nil {
+		e.options.OnMemory(record.Snapshot)
 	}
 	return record, nil
 }
 
-// unreadableHolder stands for whoever holds a lease whose record cannot be read.
+// unreadableHolder stands for the holder of a lease whose record cannot be decoded.
 const unreadableHolder = "(unreadable)"
 
-// beginWrite waits until no other write is under way. It returns false when the
-// context ends before.
-func (h *Elector) beginWrite(ctx context.Context) bool {
+// beginWrite waits until no other write is in progress. It returns false if the context ends
+// first.
+func (e *Elector) beginWrite(ctx context.Context) bool {
 	select {
-	case h.writeSlot <- struct{}{}:
+	case e.writeSlot <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (h *Elector) endWrite() { <-h.writeSlot }
+func (e *Elector) endWrite() { <-e.writeSlot }
 
-// renew writes the lease again, with what edit changes. It returns whether the
-// write was acknowledged.
-func (h *Elector) renew(ctx context.Context, edit func(*lease.Record)) bool {
-	if !h.beginWrite(ctx) {
+// renew renews the lease with the changes made by edit, and reports whether the write was
+// acknowledged.
+func (e *Elector) renew(ctx context.Context, edit func(*lease.Record)) bool {
+	if !e.beginWrite(ctx) {
 		return false
 	}
-	defer h.endWrite()
-	h.mu.Lock()
-	next := h.keeper.Renewal()
-	h.mu.Unlock()
-	if h.options.BuildMemory != nil {
-		next.Snapshot = h.options.BuildMemory(next.Snapshot)
+	defer e.endWrite()
+	e.mu.Lock()
+	next := e.keeper.Renewal()
+	e.mu.Unlock()
+	if e.options.BuildMemory != nil {
+		next.Snapshot = e.options.BuildMemory(next.Snapshot)
 	}
 	if edit != nil {
 		edit(&next)
 	}
-	begun := h.options.Now()
-	h.locked(func() { h.renewTriedAt = begun })
-	if !h.write(ctx, next) {
+	begun := e.options.Now()
+	e.locked(func() { e.renewTriedAt = begun })
+	if !e.write(ctx, next) {
 		return false
 	}
-	h.locked(func() { h.renewedAt = begun })
+	e.locked(func() { e.renewedAt = begun })
 	return true
 }
 
-// write writes a record on the revision last seen. After a lost answer or a
-// conflict the record is read again before anything is believed.
-func (h *Elector) write(ctx context.Context, record lease.Record) bool {
-	h.mu.Lock()
-	revision := h.keeper.Revision()
-	h.keeper.BeginWrite(record, h.options.Now())
-	h.mu.Unlock()
+// write writes a record on the revision last seen. After a lost answer or a conflict it reads
+// the record again to learn the actual state.
+func (e *Elector) write(ctx context.Context, record lease.Record) bool {
+	e.mu.Lock()
+	revision := e.keeper.Revision()
+	e.keeper.BeginWrite(record, e.options.Now())
+	e.mu.Unlock()
 	var object store.Object
 	var err error
 	if revision == 0 {
-		object, err = h.options.Store.Create(ctx, LeaseKind, LeaseName, record)
+		object, err = e.options.Store.Create(ctx, LeaseKind, LeaseName, record)
 	} else {
-		object, err = h.options.Store.Replace(ctx, LeaseKind, LeaseName, revision, record)
+		object, err = e.options.Store.Replace(ctx, LeaseKind, LeaseName, revision, record)
 	}
 	if err != nil {
-		h.options.Logger.Warn("lease not written", "error", err, "revision", revision)
+		e.options.Logger.Warn("failed to write lease", "error", err, "revision", revision)
 		if errors.Is(err, store.ErrRefused) {
 			return false
 		}
-		h.refresh(ctx)
+		e.refresh(ctx)
 		return false
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.keeper.WriteSucceeded(object.Revision, h.options.Now())
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.keeper.WriteSucceeded(object.Revision, e.options.Now())
 	return true
 }
 
-// FenceRejected takes over that the cloud has seen a higher fencing number than that
-// of the right.
-func (h *Elector) FenceRejected(right FencingToken) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if fence, _ := h.keeper.Holds(h.options.Now()); fence == right.Fence {
-		h.keeper.Superseded()
+// FenceRejected records that the cloud has seen a higher fencing number than that of the token.
+func (e *Elector) FenceRejected(token FencingToken) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if fence, _ := e.keeper.Holds(e.options.Now()); fence == token.Fence {
+		e.keeper.Superseded()
 	}
 }
 
-// Release gives the lease back, so that another daemon need not wait for its
-// end. The right to act ends before.
-func (h *Elector) Release(ctx context.Context) {
-	_, holds := h.Token()
-	h.mu.Lock()
-	h.releasing = true
-	h.mu.Unlock()
+// Release gives up the lease, so that another daemon need not wait for it to expire. The token
+// becomes invalid before the write.
+func (e *Elector) Release(ctx context.Context) {
+	_, holds := e.Token()
+	e.mu.Lock()
+	e.releasing = true
+	e.mu.Unlock()
 	if !holds {
 		return
 	}
-	if !h.beginWrite(ctx) {
+	if !e.beginWrite(ctx) {
 		return
 	}
-	defer h.endWrite()
-	h.mu.Lock()
-	next := h.keeper.Release()
-	h.mu.Unlock()
-	if h.write(ctx, next) {
-		h.options.Logger.Info("lease given back")
+	defer e.endWrite()
+	e.mu.Lock()
+	next := e.keeper.Release()
+	e.mu.Unlock()
+	if e.write(ctx, next) {
+		e.options.Logger.Info("lease released")
 	}
 }
 
-// RecordReport puts a usage report into the record, unless one stands there already,
-// and returns the one that stands. It returns false when the store has not
-// acknowledged it.
-func (h *Elector) RecordReport(ctx context.Context, window int64, counts usage.Counts) (usage.Counts, bool) {
-	if standing, ok := h.recordedReport(window); ok {
-		return standing, true
+// RecordReport adds a usage report to the lease record unless it already holds one for the
+// window, and returns the recorded report. It returns false when the store has not acknowledged
+// the write.
+func (e *Elector) RecordReport(ctx context.Context, window int64, counts usage.Counts) (usage.Counts, bool) {
+	if recorded, ok := e.recordedReport(window); ok {
+		return recorded, true
 	}
-	ok := h.renew(ctx, func(r *lease.Record) {
+	ok := e.renew(ctx, func(r *lease.Record) {
 		reports := map[int64]usage.Counts{window: counts}
 		for id, c := range r.UsageReports {
 			if id > window-reportRetentionWindows {
@@ -390,13 +393,13 @@
 	return counts, ok
 }
 
-// reportRetentionWindows is the number of windows whose reports stay in the record: those
-// that a successor might send again.
+// reportRetentionWindows is the number of windows whose reports stay in the record, because a
+// successor might send them again.
 const reportRetentionWindows = 4
 
-func (h *Elector) recordedReport(window int64) (usage.Counts, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	counts, ok := h.keeper.UsageReports()[window]
+func (e *Elector) recordedReport(window int64) (usage.Counts, bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	counts, ok := e.keeper.UsageReports()[window]
 	return counts, ok
 }
--- a/internal/duty/exchange.go
+++ b/internal/duty/exchange.go
@@ -10,11 +10,11 @@
 	"github.com/plankridge/plankridge/internal/usage"
 )
 
-// usageKind is the kind of the objects through which daemons that do not hear
-// each other exchange what they have counted.
+// usageKind is the kind of the objects through which daemons that cannot reach each other
+// exchange their usage counts.
 const usageKind = "plankridge-usage"
 
-// publishedCounts is a daemon's object.
+// publishedCounts is the object of one daemon.
 type publishedCounts struct {
 	Incarnation uint64 `json:"incarnation"`
 	Zone        string `json:"zone"`
@@ -24,15 +24,15 @@
 }
 
 const (
-	// publishDelay is how long after a window's end its counts are written.
+	// publishDelay is the time from a window's end to the write of its counts.
 	publishDelay = 500 * time.Millisecond
-	// publishWindows is the number of windows written: the one that has ended
-	// and one before it, whose write may have failed.
+	// publishWindows is the number of windows written: the current one, the one that has ended,
+	// and the one before it, whose write may have failed.
 	publishWindows = 3
 )
 
-// Exchange passes counts through the store: of a daemon that no lead hears, and of
-// a zone that others do not hear.
+// Exchange passes usage counts through the store: those of a daemon that no lead can reach, and
+// those of a zone that other zones cannot reach.
 type Exchange struct {
 	Self        string
 	Incarnation uint64
@@ -42,8 +42,8 @@
 	Logger      *slog.Logger
 }
 
-// Run publishes this daemon's counts after each window during which others may not
-// have heard them, and collects those of its zone.
+// Run publishes this daemon's counts after each window in which other daemons may not have
+// received them, and collects those of its zone.
 func (e *Exchange) Run(ctx context.Context) {
 	ticker := time.NewTicker(reportTick)
 	defer ticker.Stop()
@@ -61,52 +61,52 @@
 	}
 }
 
-// exchange does what a window that has ended asks for. It returns false when that
-// has to be tried again.
+// exchange publishes and collects the counts due after a window. It returns false when that has
+// to be retried.
 func (e *Exchange) exchange(ctx context.Context, window int64) bool {
-	_, sums, cut := e.Peers.Zone()
-	if cut {
+	_, sumsZone, isolated := e.Peers.Zone()
+	if isolated {
 		if err := e.publish(ctx); err != nil {
-			e.Logger.Warn("counts not published", "window", window, "error", err)
+			e.Logger.Warn("failed to publish usage counts", "window", window, "error", err)
 			return false
 		}
 	}
-	if sums && !e.Peers.AllReachable() {
+	if sumsZone && !e.Peers.AllReachable() {
 		e.Collect(ctx)
 	}
 	return true
 }
 
 func (e *Exchange) publish(ctx context.Context) error {
-	zone, sums, _ := e.Peers.Zone()
-	own := publishedCounts{Incarnation: e.Incarnation, Zone: zone, WholeZone: sums, Windows: e.Ledger.Own(publishWindows)}
-	if sums {
-		own.Windows = e.Ledger.Zone(publishWindows)
+	zone, sumsZone, _ := e.Peers.Zone()
+	published := publishedCounts{Incarnation: e.Incarnation, Zone: zone, WholeZone: sumsZone, Windows: e.Ledger.Own(publishWindows)}
+	if sumsZone {
+		published.Windows = e.Ledger.Zone(publishWindows)
 	}
-	return store.Overwrite(ctx, e.Store, usageKind, e.Self, own)
+	return store.Overwrite(ctx, e.Store, usageKind, e.Self, published)
 }
 
-// Collect takes over what others have published: daemons of this zone, and the
-// sums of other zones.
+// Collect adds the published counts of the daemons of this zone and the sums of other zones to
+// the ledger.
 func (e *Exchange) Collect(ctx context.Context) {
 	page, err := e.Store.List(ctx, usageKind)
 	if err != nil {
-		e.Logger.Warn("published counts cannot be read", "error", err)
+		e.Logger.Warn("failed to list published usage counts", "error", err)
 		return
 	}
 	zone, _, _ := e.Peers.Zone()
 	for _, object := range page.Objects {
-		var c publishedCounts
-		if err := json.Unmarshal(object.Spec, &c); err != nil {
-			e.Logger.Error("published counts cannot be decoded", "daemon", object.Name, "error", err)
+		var counts publishedCounts
+		if err := json.Unmarshal(object.Spec, &counts); err != nil {
+			e.Logger.Error("failed to decode published usage counts", "daemon", object.Name, "error", err)
 			continue
 		}
 		switch {
 		case object.Name == e.Self:
-		case c.WholeZone && c.Zone != zone:
-			e.Ledger.HeardZone(c.Zone, c.Windows)
-		case !c.WholeZone && c.Zone == zone:
-			e.Ledger.Heard(object.Name, c.Incarnation, c.Windows)
+		case counts.WholeZone && counts.Zone != zone:
+			e.Ledger.HeardZone(counts.Zone, counts.Windows)
+		case !counts.WholeZone && counts.Zone == zone:
+			e.Ledger.Heard(object.Name, counts.Incarnation, counts.Windows)
 		}
 	}
 }
--- a/internal/duty/reporter.go
+++ b/internal/duty/reporter.go
@@ -10,33 +10,34 @@
 )
 
 const (
-	// reportTick is how often the reporter looks for windows that are due.
+	// reportTick is the time between two checks for windows that are due.
 	reportTick = 200 * time.Millisecond
-	// reportDelay is how long after its end a window is reported: three reports
-	// of every peer.
+	// reportDelay is the time from a window's end to its report. It gives every peer time for
+	// three reports.
 	reportDelay = 1300 * time.Millisecond
-	// silentPeerWaitFraction is the part of the time until a report is due for which silent
-	// peers are waited for.
+	// silentPeerWaitFraction is the fraction of the deadline for which a report waits for
+	// unreachable peers.
 	silentPeerWaitFraction = 0.6
 )
 
-// Reporter sends the usage of each window once, equal on repeat.
+// Reporter sends the usage of each window to the cloud. Repeated reports of a window are
+// identical.
 type Reporter struct {
 	Elector *Elector
 	Cloud   Cloud
 	Ledger  *usage.Ledger
 	Peers   Peers
-	// Exchange brings the counts of daemons that are not heard.
+	// Exchange provides the counts of daemons that cannot be reached.
 	Exchange *Exchange
 	Logger   *slog.Logger
-	// Deadline is how long after a window's end its report must be there.
+	// Deadline is the time from a window's end within which its report must arrive.
 	Deadline time.Duration
 
-	// nextWindow is the first window that this process has not yet reported.
+	// nextWindow is the first window that this process has not reported yet.
 	nextWindow int64
 }
 
-// Run reports until the context ends.
+// Run sends reports until the context ends.
 func (r *Reporter) Run(ctx context.Context) {
 	ticker := time.NewTicker(reportTick)
 	defer ticker.Stop()
@@ -66,38 +67,38 @@
 	}
 }
 
-// ready reports whether a window's counts are complete, or are as complete as
-// they will be in time.
+// ready reports whether the counts of a window are complete, or waiting longer would risk the
+// deadline.
 func (r *Reporter) ready(window int64, now time.Time) bool {
 	age := now.Sub(r.Ledger.End(window))
 	if age < reportDelay {
 		return false
 	}
-	late := time.Duration(silentPeerWaitFraction * float64(r.Deadline))
-	return age > late || r.Peers.AllReachable()
+	maxWait := time.Duration(silentPeerWaitFraction * float64(r.Deadline))
+	return age > maxWait || r.Peers.AllReachable()
 }
 
 func (r *Reporter) send(ctx context.Context, window int64) bool {
-	if _, standing := r.Elector.recordedReport(window); !standing && !r.Peers.AllReachable() {
+	if _, recorded := r.Elector.recordedReport(window); !recorded && !r.Peers.AllReachable() {
 		r.Exchange.Collect(ctx)
 	}
 	counts, decided := r.Elector.RecordReport(ctx, window, r.Ledger.Sum(window))
 	if !decided {
 		return false
 	}
-	right, holds := r.Elector.Token()
+	token, holds := r.Elector.Token()
 	if !holds {
 		return false
 	}
-	err := r.Cloud.ReportUsage(ctx, right, window, counts)
-	r.Logger.Info("usage reported", "window", window, "counts", counts, "fence", right.Fence, "error", errorText(err))
+	err := r.Cloud.ReportUsage(ctx, token, window, counts)
+	r.Logger.Info("usage reported", "window", window, "counts", counts, "fence", token.Fence, "error", errorText(err))
 	if errors.Is(err, ErrDeclined) {
-		r.Elector.FenceRejected(right)
+		r.Elector.FenceRejected(token)
 	}
 	return err == nil
 }
 
-// errorText returns an error's message, or nothing.
+// errorText returns the message of an error, or an empty string for nil.
 func errorText(err error) string {
 	if err == nil {
 		return ""
--- a/internal/duty/scaler.go
+++ b/internal/duty/scaler.go
@@ -13,20 +13,21 @@
 	"github.com/plankridge/plankridge/internal/demand"
 )
 
-// scaleTick is how often capacity is decided.
+// scaleTick is the time between two capacity decisions.
 const scaleTick = 300 * time.Millisecond
 
-// Scaler orders the backend servers that the plan asks for.
+// Scaler orders the backend servers that the capacity plan requires.
 type Scaler struct {
 	Elector *Elector
 	Cloud   Cloud
 	View    *backend.View
 	Catalog func() *catalog.Catalog
-	// Demand returns the number of servers that the present demand of a service
+	// Demand returns the load of a service, as the number of servers that its current demand
 	// keeps busy.
 	Demand func(service string) demand.Load
-	// VersionUnsettled reports whether servers of two versions of a service are there: which of them
-	// an order would count is not known, so none is given until the roll-out has ended.
+	// VersionUnsettled reports whether a service may have servers of two versions. It is then
+	// open which of them an order would count, so no servers are ordered until the roll-out has
+	// ended.
 	VersionUnsettled func(service string) bool
 	Logger           *slog.Logger
 
@@ -34,7 +35,7 @@
 	fence    int64
 }
 
-// Run orders until the context ends.
+// Run orders servers until the context ends.
 func (s *Scaler) Run(ctx context.Context) {
 	ticker := time.NewTicker(scaleTick)
 	defer ticker.Stop()
@@ -49,14 +50,14 @@
 }
 
 func (s *Scaler) step(ctx context.Context, now time.Time) {
-	right, holds := s.Elector.Token()
+	token, holds := s.Elector.Token()
 	c := s.Catalog()
 	if !holds || c == nil || !s.View.ListReceived() {
 		return
 	}
-	if right.Fence != s.fence {
-		// What earlier holders ordered is not known.
-		s.fence, s.planners = right.Fence, map[string]*capacity.Planner{}
+	if token.Fence != s.fence {
+		// The orders of earlier holders are not known.
+		s.fence, s.planners = token.Fence, map[string]*capacity.Planner{}
 	}
 	for name, service := range c.Services {
 		if service.Scaling != nil && !s.VersionUnsettled(name) {
@@ -77,7 +78,7 @@
 	}
 }
 
-// zones counts the servers that take new work.
+// zones counts the ready servers of a service by zone.
 func (s *Scaler) zones(service string, scaling catalog.Scaling, now time.Time) []capacity.Zone {
 	var zones []capacity.Zone
 	for name := range scaling.ZonePrices {
@@ -89,8 +90,8 @@
 			continue
 		}
 		if server.Draining && server.Reclaimable && server.LeavesIn > 0 {
-			// A notice takes all reclaimable servers of a zone; no more are to be
-			// had there for a while.
+			// A reclaim notice takes all reclaimable servers of a zone, and no more are
+			// available there for a while.
 			zones[i].Dry = true
 		}
 		if server.Ready {
@@ -100,7 +101,7 @@
 	return zones
 }
 
-// countReady counts a server that takes new work.
+// countReady counts one ready server.
 func countReady(zone *capacity.Zone, server backend.Status) {
 	all, atLimit := &zone.OnDemand, &zone.OnDemandAtLimit
 	if server.Reclaimable {
@@ -112,16 +113,16 @@
 	}
 }
 
-// order gives an order, while the right to do so lasts.
+// order sends an order to the cloud if this daemon still holds the lease.
 func (s *Scaler) order(ctx context.Context, service string, planner *capacity.Planner, order capacity.Order, load demand.Load) {
-	right, holds := s.Elector.Token()
+	token, holds := s.Elector.Token()
 	if !holds {
 		return
 	}
-	err := s.Cloud.Scale(ctx, right, Order{Service: service, Zone: order.Zone, Reclaimable: order.Reclaimable, Count: order.Count})
+	err := s.Cloud.Scale(ctx, token, Order{Service: service, Zone: order.Zone, Reclaimable: order.Reclaimable, Count: order.Count})
 	planner.Answered(order, replyOf(err), time.Now())
 	s.Logger.Info("servers ordered", "service", service, "zone", order.Zone, "reclaimable", order.Reclaimable,
-		"count", order.Count, "present", order.Present, "reading", load.Reading, "places", load.Places, "memory", load.Memory, "fence", right.Fence, "error", errorText(err))
+		"count", order.Count, "present", order.Present, "reading", load.Reading, "places", load.Places, "memory", load.Memory, "fence", token.Fence, "error", errorText(err))
 }
 
 func replyOf(err error) capacity.Reply {
--- a/internal/duty/suspended_test.go
+++ b/internal/duty/suspended_test.go
@@ -12,49 +12,50 @@
 	"github.com/plankridge/plankridge/internal/store"
 )
 
-// leaseStore is a store with the lease alone.
+// leaseStore is a store that holds only the lease object.
 type leaseStore struct {
 	store.Store
 	object store.Object
 }
 
 // Get implements store.Store.
-func (o *leaseStore) Get(context.Context, string, string) (store.Object, error) {
-	if o.object.Revision == 0 {
+func (s *leaseStore) Get(context.Context, string, string) (store.Object, error) {
+	if s.object.Revision == 0 {
 		return store.Object{}, store.ErrNotFound
 	}
-	return o.object, nil
+	return s.object, nil
 }
 
 // Create implements store.Store.
-func (o *leaseStore) Create(_ context.Context, _, _ string, spec any) (store.Object, error) {
-	return o.write(spec)
+func (s *leaseStore) Create(_ context.Context, _, _ string, spec any) (store.Object, error) {
+	return s.write(spec)
 }
 
 // Replace implements store.Store.
-func (o *leaseStore) Replace(_ context.Context, _, _ string, _ int64, spec any) (store.Object, error) {
-	return o.write(spec)
+func (s *leaseStore) Replace(_ context.Context, _, _ string, _ int64, spec any) (store.Object, error) {
+	return s.write(spec)
 }
 
-func (o *leaseStore) write(spec any) (store.Object, error) {
+func (s *leaseStore) write(spec any) (store.Object, error) {
 	raw, err := json.Marshal(spec)
-	o.object.Spec, o.object.Revision = raw, o.object.Revision+1
-	return o.object, err
+	s.object.Spec, s.object.Revision = raw, s.object.Revision+1
+	return s.object, err
 }
 
-// TestRightEndsWhileTheVMIsSuspended: a holder that goes on after seconds does not act by a
-// lease that has lapsed meanwhile, though the clock of the process stood still.
+// TestRightEndsWhileTheVMIsSuspended guards against a holder that acts with an expired lease
+// after its VM was suspended for some seconds, during which the process's own clock stood
+// still.
 func TestRightEndsWhileTheVMIsSuspended(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := NewElector(Options{
+	elector := NewElector(Options{
 		Self: "vm-1", Incarnation: 1, Duration: 3 * time.Second, Store: &leaseStore{}, Logger: slog.New(slog.DiscardHandler),
 		Now: func() time.Time { return now },
 	})
-	h.tryAcquire(context.Background())
-	_, holds := h.Token()
+	elector.tryAcquire(context.Background())
+	_, holds := elector.Token()
 	c.Assert(holds, qt.IsTrue)
 	now = now.Add(5 * time.Second)
-	_, holds = h.Token()
+	_, holds = elector.Token()
 	c.Check(holds, qt.IsFalse)
 }
