--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -113,7 +113,8 @@
 }
 
 // TestWhoWasThereIsNotHeldBack guards against blocking harmless requests whose servers exited
-// under a poison request. The poison request comes in two calls of two attempts each.
+// under a poison request. Two of them lose four servers, by the two attempts of each of two
+// calls.
 func TestWhoWasThereIsNotHeldBack(t *testing.T) {
 	c := qt.New(t)
 	q := New()
@@ -181,8 +182,8 @@
 	}
 	q.Merge(reports, 0, at(1))
 	c.Check(len(q.records) <= maxReports, qt.IsTrue)
-	for _, ended := range q.exitedAt {
-		c.Check(ended, qt.Equals, at(1))
+	for _, exitedAt := range q.exitedAt {
+		c.Check(exitedAt, qt.Equals, at(1))
 	}
 	for _, r := range q.records {
 		c.Check(r.answeredAt.After(at(1)), qt.IsFalse)
--- a/internal/quarantine/watch/probe_test.go
+++ b/internal/quarantine/watch/probe_test.go
@@ -40,13 +40,13 @@
 		c := qt.New(t)
 		servers := &fakeServers{exited: map[string]bool{"dead": true}}
 		w := New(Options{ReportInterval: func(time.Time) time.Duration { return 150 * time.Millisecond }, NotifyPeers: func() {}, Logger: slog.New(slog.DiscardHandler)})
-		broke := time.Now()
-		for content := range quarantine.Digest(5) {
-			at := broke.Add(time.Duration(content) * time.Millisecond)
-			w.RecordBrokenAttempt(servers.server(1, "dead"), quarantine.LostRequest{Digest: content, SentAt: broke}, false, at)
+		brokeAt := time.Now()
+		for digest := range quarantine.Digest(5) {
+			at := brokeAt.Add(time.Duration(digest) * time.Millisecond)
+			w.RecordBrokenAttempt(servers.server(1, "dead"), quarantine.LostRequest{Digest: digest, SentAt: brokeAt}, false, at)
 		}
-		w.RecordBrokenAttempt(servers.server(2, "alive"), quarantine.LostRequest{Digest: 9, SentAt: broke}, false, broke)
-		w.RecordBrokenAttempt(servers.server(3, "again"), quarantine.LostRequest{Digest: 10, SentAt: broke}, true, broke)
+		w.RecordBrokenAttempt(servers.server(2, "alive"), quarantine.LostRequest{Digest: 9, SentAt: brokeAt}, false, brokeAt)
+		w.RecordBrokenAttempt(servers.server(3, "again"), quarantine.LostRequest{Digest: 10, SentAt: brokeAt}, true, brokeAt)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		reported := map[quarantine.Digest]quarantine.ServerInstance{}
@@ -54,7 +54,7 @@
 			c.Assert(report.Exits, qt.HasLen, 1)
 			reported[report.Digest] = report.Exits[0].Server
 			// The exit time is that of the first broken attempt.
-			c.Check(report.Exits[0].Age, qt.Equals, time.Since(broke))
+			c.Check(report.Exits[0].Age, qt.Equals, time.Since(brokeAt))
 		}
 		c.Check(reported, qt.DeepEquals, map[quarantine.Digest]quarantine.ServerInstance{0: 1, 1: 1, 2: 1, 3: 1, 4: 1, 10: 3})
 		c.Check(servers.probeCount, qt.Equals, 3)
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -4,11 +4,11 @@
 // in, from a monotonic clock.
 //
 // During a roll-out a service has two versions: the stable one, and the candidate that the
-// operator requested. Each daemon sends the candidate a small share of its own requests and
-// counts the answers. The counts are exchanged with the other gossip sums, so that every daemon
-// compares both versions over the whole deployment and stops using the candidate at once when
-// it is worse. Only the lease holder shifts all requests to the candidate and writes the
-// outcome.
+// operator requested. In the trial, each daemon sends the candidate a small share of its own
+// requests and counts the answers. The counts are exchanged with the other gossip sums, so that
+// every daemon compares both versions over the whole deployment and stops using the candidate
+// at once when it is worse. In the shift that follows, the lease holder raises the share step
+// by step to all requests. Only the lease holder writes the outcome.
 package rollout
 
 import "time"
