--- a/internal/allowance/allowance.go
+++ b/internal/allowance/allowance.go
@@ -14,47 +14,47 @@
 // Tolerance is how far above its allowance a workspace may get in a window.
 type Tolerance struct {
 	// Window is the length for which an allowance is meant: its rate over that time and
-	// one burst. Zero stands for usualWindow.
+	// one burst. Zero stands for defaultWindow.
 	Window time.Duration
-	// Over is a share of the window's allowance, Tokens a number besides.
-	Over   float64
-	Tokens float64
+	// Fraction is a share of the window's allowance, Tokens a number besides.
+	Fraction float64
+	Tokens   float64
 }
 
-// usualWindow is used where the operator states none.
-const usualWindow = 8 * time.Second
+// defaultWindow is used where the operator states none.
+const defaultWindow = 8 * time.Second
 
-// of returns the tolerance of an allowance, in tokens of a window.
-func (t Tolerance) of(limit float64) float64 { return t.Over*limit + t.Tokens }
+// tokensFor returns the tolerance of an allowance, in tokens of a window.
+func (t Tolerance) tokensFor(limit float64) float64 { return t.Fraction*limit + t.Tokens }
 
 // Limiter holds what the workspaces have used.
 type Limiter struct {
 	mu        sync.Mutex
 	tolerance Tolerance
-	// draw returns a number from zero to one by chance.
-	draw    func() float64
+	// random returns a number from zero to one by chance.
+	random  func() float64
 	started time.Time
 	// countingSince is since when what the workspaces use has been counted without a gap, and
-	// behindSince is when this process went on after it had stood still, until it is told what
+	// resumedAt is when this process went on after it had stood still, until it is told what
 	// it missed.
-	countingSince, behindSince time.Time
-	// opening is what was known at the start, once it is known. settled is set once
+	countingSince, resumedAt time.Time
+	// snapshot is what was known at the start, once it is known. settled is set once
 	// all daemons were heard, or have had the time to be.
-	opening *Opening
-	settled bool
-	// share is the part of the daemons that is heard, this one included, and partedAt
+	snapshot *Snapshot
+	settled  bool
+	// reachableShare is the part of the daemons that is heard, this one included, and partitionedAt
 	// since when it is not all of them. It is zero while all are heard.
-	share    float64
-	partedAt time.Time
+	reachableShare float64
+	partitionedAt  time.Time
 	// alone is set while no other is heard, after the time to be.
 	alone bool
-	// peers is the number of other daemons that are heard, and knownPeers of those that are known.
-	peers, knownPeers int
-	// behind is how old what is told may be when it comes, and round the time until the
+	// reachablePeers is the number of other daemons that are heard, and knownPeers of those that are known.
+	reachablePeers, knownPeers int
+	// reportAge is how old what is told may be when it comes, and round the time until the
 	// next news.
-	behind, round time.Duration
-	accounts      map[string]*account
-	heard         map[reporter]Counters
+	reportAge, reportInterval time.Duration
+	accounts                  map[string]*account
+	lastCounters              map[reporter]Counters
 }
 
 // Counters are what a daemon, or several, have admitted and refused for lack of
@@ -77,56 +77,56 @@
 	used window
 	// spent and refused are all that this daemon itself has admitted and refused.
 	spent, refused float64
-	// spentBefore is what it had admitted when it last stood still.
-	spentBefore float64
-	others      others
-	// own is how fast this daemon itself is asked, and spentAtNews what it had admitted when
+	// spentAtResume is what it had admitted when it last stood still.
+	spentAtResume float64
+	peers         peerActivity
+	// ownDemand is how fast this daemon itself is asked, and spentAtReport what it had admitted when
 	// others were last heard.
-	own         ownPace
-	spentAtNews float64
-	// opened is set once what was used before this process started is known, and
+	ownDemand     demandMeter
+	spentAtReport float64
+	// restored is set once what was used before this process started is known, and
 	// adopted once a daemon that has been running for longer has told it.
-	opened, adopted bool
-	// likeOwn is set where other daemons are assumed to have this daemon's demand until theirs has been
+	restored, adopted bool
+	// assumeOwnDemand is set where other daemons are assumed to have this daemon's demand until theirs has been
 	// measured.
-	likeOwn bool
+	assumeOwnDemand bool
 }
 
 const (
-	// mostUsed is the part of the tolerance that is used on purpose: small workspaces, for
+	// plannedToleranceShare is the part of the tolerance that is used on purpose: small workspaces, for
 	// which it is large, are not refused the last request of a window.
-	mostUsed = 0.3
-	// repeatShare is the part of the tolerance up to which requests that may have run are run again.
-	repeatShare = 0.65
-	// coverShare is the part of the tolerance that is left to a sudden jump of a workspace.
+	plannedToleranceShare = 0.3
+	// retryToleranceShare is the part of the tolerance up to which requests that may have run are run again.
+	retryToleranceShare = 0.65
+	// jumpToleranceShare is the part of the tolerance that is left to a sudden jump of a workspace.
 	// The rest covers lost reports, cuts and starts. Were nothing held back for jumps, deaths
 	// of all and cuts beside a jump would break the rule (TestDeathOfAllWhileAWorkspaceIsHot,
 	// TestZoneCutWhileAWorkspaceIsHot).
-	coverShare = 0.5
-	// handOutShare is the part of a window over which what is free goes to those that want more
+	jumpToleranceShare = 0.5
+	// distributionWindowShare is the part of a window over which what is free goes to those that want more
 	// than that. Over 0.35 s of 8 s, the time until 8 daemons hear of each other, the same tests
 	// break: the room that a jump leaves is used up at once 8 s later, and more in each turn.
-	handOutShare = 3.0 / 16
+	distributionWindowShare = 3.0 / 16
 )
 
 // NewLimiter returns a limiter without workspaces. Until it is told of others, it takes
 // itself for one of many, and the allowances for used up.
 func NewLimiter(tolerance Tolerance, now time.Time, draw func() float64) *Limiter {
 	if tolerance.Window <= 0 {
-		tolerance.Window = usualWindow
+		tolerance.Window = defaultWindow
 	}
 	return &Limiter{
-		started: now, countingSince: now, tolerance: tolerance, draw: draw, share: 1,
-		behind: firstBehind, round: firstBehind, knownPeers: unknownPeers,
-		accounts: map[string]*account{}, heard: map[reporter]Counters{},
+		started: now, countingSince: now, tolerance: tolerance, random: draw, reachableShare: 1,
+		reportAge: initialReportAge, reportInterval: initialReportAge, knownPeers: initialKnownPeers,
+		accounts: map[string]*account{}, lastCounters: map[reporter]Counters{},
 	}
 }
 
 // Change is an allowance that a configuration has changed.
 type Change struct {
 	Workspace string
-	// Before and Limit are what it may use in a window, and Used what it has, in tokens.
-	Before, Limit, Used float64
+	// PreviousLimit and Limit are what it may use in a window, and Used what it has, in tokens.
+	PreviousLimit, Limit, Used float64
 }
 
 // ApplyCatalog takes over the allowances of a configuration. It returns those that were there before
@@ -146,19 +146,19 @@
 		a.rate = w.TokensPerSecond
 		a.limit = w.TokensPerSecond*l.tolerance.Window.Seconds() + w.Burst
 		if l.accounts[w.Name] != nil && a.limit != before {
-			changes = append(changes, Change{Workspace: w.Name, Before: before, Limit: a.limit, Used: a.used.sum()})
+			changes = append(changes, Change{Workspace: w.Name, PreviousLimit: before, Limit: a.limit, Used: a.used.sum()})
 		}
-		l.open(w.Name, a, now)
+		l.restore(w.Name, a, now)
 		next[w.Name] = a
 	}
-	l.keepUsed(next, now)
+	l.keepRecentlyUsed(next, now)
 	l.accounts = next
 	return changes
 }
 
-// keepUsed adds the accounts that a configuration does not name any more, while something was used in their window:
+// keepRecentlyUsed adds the accounts that a configuration does not name any more, while something was used in their window:
 // one that is named again goes on with it, and its counters only grow.
-func (l *Limiter) keepUsed(next map[string]*account, now time.Time) {
+func (l *Limiter) keepRecentlyUsed(next map[string]*account, now time.Time) {
 	for name, a := range l.accounts {
 		if next[name] != nil {
 			continue
@@ -171,47 +171,47 @@
 	}
 }
 
-// SetReach takes over how many of the known daemons are heard, this one
+// SetReachable takes over how many of the known daemons are heard, this one
 // included. Each side of a partition uses its part of what was left, so that the
 // parts never add up to more than the whole.
-func (l *Limiter) SetReach(heard, known int, now time.Time) {
+func (l *Limiter) SetReachable(heard, known int, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	share := 1.0
 	if known > 0 {
 		share = min(1, float64(heard)/float64(known))
 	}
-	l.settled = l.settled || share >= 1 || now.Sub(l.started) >= settleFor
+	l.settled = l.settled || share >= 1 || now.Sub(l.started) >= settleTimeout
 	l.alone = l.settled && heard <= 1
-	before := l.peersHeard()
-	l.peers, l.knownPeers = max(0, heard-1), max(0, known-1)
+	before := l.reachablePeerShare()
+	l.reachablePeers, l.knownPeers = max(0, heard-1), max(0, known-1)
 	switch {
 	case share >= 1:
-		l.partedAt = time.Time{}
-	case l.settled && l.partedAt.IsZero():
-		l.partedAt = now
+		l.partitionedAt = time.Time{}
+	case l.settled && l.partitionedAt.IsZero():
+		l.partitionedAt = now
 	}
 	for _, a := range l.accounts {
-		l.reach(a, share, before-l.peersHeard(), now)
+		l.updateReachable(a, share, before-l.reachablePeerShare(), now)
 	}
-	l.share = share
+	l.reachableShare = share
 }
 
-// reach takes over that the part of the daemons that is heard has changed, and that a part of the others is not
+// updateReachable takes over that the part of the daemons that is heard has changed, and that a part of the others is not
 // heard any more. Those go on, but with their own part; what they have spent since they fell
 // silent is taken to be as much as before. Those that are heard again tell at once what
 // they have spent meanwhile, which says nothing of how fast they are asked: taken for 0.15 s
 // worth of it, 5 s of a cut kept a workspace from what was free for 8 s more.
-func (l *Limiter) reach(a *account, share, lost float64, now time.Time) {
-	if share != l.share {
-		a.others.disturbedAt = now
+func (l *Limiter) updateReachable(a *account, share, lost float64, now time.Time) {
+	if share != l.reachableShare {
+		a.peers.changedAt = now
 	}
-	if share > l.share {
-		a.others.backlog = true
+	if share > l.reachableShare {
+		a.peers.backlog = true
 	}
 	if lost > 0 {
 		a.used.advance(now)
-		a.used.add(a.others.spending.rate*lost*l.behind.Seconds(), now)
+		a.used.add(a.peers.spending.perSecond*lost*l.reportAge.Seconds(), now)
 	}
 }
 
@@ -231,22 +231,22 @@
 		return Verdict{Admitted: true}
 	}
 	a.used.advance(now)
-	a.own.asked(tokens, now)
+	a.ownDemand.add(tokens, now)
 	// A request above the whole allowance of a window is admitted to an empty one.
 	need := min(tokens, a.limit)
-	free := l.free(a, now) + l.margin(a, now)
-	if a.likeOwn && l.overdue(a, now) {
-		free -= a.others.missed(now)
+	free := l.free(a, now) + l.toleranceMargin(a, now)
+	if a.assumeOwnDemand && l.reportOverdue(a, now) {
+		free -= a.peers.unreportedSpend(now)
 	}
-	verdict := l.describe(a, free, now)
-	verdict.Admitted = need+verdict.Unheard <= free
+	verdict := l.newVerdict(a, free, now)
+	verdict.Admitted = need+verdict.Unreported <= free
 	if !verdict.Admitted {
-		verdict.Drawn = l.drawn(a, need, free, now)
-		verdict.Admitted = verdict.Drawn
+		verdict.ByChance = l.admitByChance(a, need, free, now)
+		verdict.Admitted = verdict.ByChance
 	}
 	if !verdict.Admitted {
 		a.refused += tokens
-		verdict.RetryAfter = l.wait(a, need+verdict.Unheard-free, now)
+		verdict.RetryAfter = l.retryAfter(a, need+verdict.Unreported-free, now)
 		return verdict
 	}
 	a.spend(tokens, now)
@@ -254,9 +254,9 @@
 	return verdict
 }
 
-// Repeat takes tokens for one more run of a request that was admitted and may have run. It goes before new requests,
+// AdmitRetry takes tokens for one more run of a request that was admitted and may have run. It goes before new requests,
 // which are refused for it.
-func (l *Limiter) Repeat(workspace string, tokens float64, now time.Time) Verdict {
+func (l *Limiter) AdmitRetry(workspace string, tokens float64, now time.Time) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[workspace]
@@ -264,8 +264,8 @@
 		return Verdict{Admitted: true}
 	}
 	a.used.advance(now)
-	free := l.free(a, now) + l.share*repeatShare*l.tolerance.of(a.limit)
-	verdict := l.describe(a, free, now)
+	free := l.free(a, now) + l.reachableShare*retryToleranceShare*l.tolerance.tokensFor(a.limit)
+	verdict := l.newVerdict(a, free, now)
 	if min(tokens, a.limit) > free {
 		return verdict
 	}
@@ -283,76 +283,76 @@
 // free returns what this daemon may count on: what is left of the window, or in a
 // partition its part of what was left when it began.
 func (l *Limiter) free(a *account, now time.Time) float64 {
-	if !a.opened && now.Sub(l.started) < l.tolerance.Window {
+	if !a.restored && now.Sub(l.started) < l.tolerance.Window {
 		// All may have been used a moment before the start.
-		return unknownShare*l.tolerance.of(a.limit) - a.used.sum()
+		return unknownUsageShare*l.tolerance.tokensFor(a.limit) - a.used.sum()
 	}
 	if l.catchingUp(now) {
-		return unknownShare*l.tolerance.of(a.limit)/float64(l.peers+1) - (a.spent - a.spentBefore)
+		return unknownUsageShare*l.tolerance.tokensFor(a.limit)/float64(l.reachablePeers+1) - (a.spent - a.spentAtResume)
 	}
 	used := a.used.sum()
-	if l.partedAt.IsZero() {
+	if l.partitionedAt.IsZero() {
 		return a.limit - used
 	}
-	before := a.used.before(l.partedAt)
-	return l.share*(a.limit-before) - (used - before)
+	before := a.used.sumBefore(l.partitionedAt)
+	return l.reachableShare*(a.limit-before) - (used - before)
 }
 
-// margin returns how much of the tolerance is used on purpose, or below zero what is held
+// toleranceMargin returns how much of the tolerance is used on purpose, or below zero what is held
 // back: a workspace that suddenly asks for much more gets, before daemons have heard of it,
 // what the tolerance has to cover.
-func (l *Limiter) margin(a *account, now time.Time) float64 {
-	tolerance := l.tolerance.of(a.limit)
-	jump := max(0, assumedRise*a.rate-l.asked(a, now)) * (l.behind + l.round).Seconds()
+func (l *Limiter) toleranceMargin(a *account, now time.Time) float64 {
+	tolerance := l.tolerance.tokensFor(a.limit)
+	jump := max(0, assumedDemandFactor*a.rate-l.othersDemand(a, now)) * (l.reportAge + l.reportInterval).Seconds()
 	if l.alone {
 		jump = 0
 	}
-	return l.share * min(mostUsed*tolerance, coverShare*tolerance-jump)
+	return l.reachableShare * min(plannedToleranceShare*tolerance, jumpToleranceShare*tolerance-jump)
 }
 
-// drawn draws whether a request is among those to which the rest goes.
-func (l *Limiter) drawn(a *account, need, free float64, now time.Time) bool {
-	if free <= 0 || l.draw == nil {
+// admitByChance draws whether a request is among those to which the rest goes.
+func (l *Limiter) admitByChance(a *account, need, free float64, now time.Time) bool {
+	if free <= 0 || l.random == nil {
 		return false
 	}
-	asked := l.asked(a, now)
-	if a.likeOwn {
+	asked := l.othersDemand(a, now)
+	if a.assumeOwnDemand {
 		// Without other daemons its own requests compete for what is free.
-		asked += a.own.rate(now)
-		free *= l.certainty(a, now)
+		asked += a.ownDemand.rate(now)
+		free *= l.usableShare(a, now)
 	}
-	rivals := asked * max(l.handOut(), l.behind+l.round, l.horizon(a, now)).Seconds()
-	if rivals == 0 && l.share >= 1 {
+	rivals := asked * max(l.distributionTime(), l.reportAge+l.reportInterval, l.unreportedTime(a, now)).Seconds()
+	if rivals == 0 && l.reachableShare >= 1 {
 		return false
 	}
-	return l.draw() < free/max(rivals, need)
+	return l.random() < free/max(rivals, need)
 }
 
-// handOut is the time over which what is free goes to those that want more than that.
-func (l *Limiter) handOut() time.Duration {
-	return time.Duration(handOutShare * float64(l.tolerance.Window))
+// distributionTime is the time over which what is free goes to those that want more than that.
+func (l *Limiter) distributionTime() time.Duration {
+	return time.Duration(distributionWindowShare * float64(l.tolerance.Window))
 }
 
 // uncertainShare is the part of what is free that is used while what others do is not known.
 const uncertainShare = 0.5
 
-// certainty returns the part of what is free that may be used.
-func (l *Limiter) certainty(a *account, now time.Time) float64 {
-	if l.overdue(a, now) || a.others.disturbed(now) {
+// usableShare returns the part of what is free that may be used.
+func (l *Limiter) usableShare(a *account, now time.Time) float64 {
+	if l.reportOverdue(a, now) || a.peers.remeasuring(now) {
 		return uncertainShare
 	}
 	return 1
 }
 
-// wait returns how long a caller had better wait until what is missing is there.
-func (l *Limiter) wait(a *account, missing float64, now time.Time) time.Duration {
-	if !a.opened && now.Sub(l.started) < l.tolerance.Window {
-		return untilSettled
+// retryAfter returns how long a caller had better wait until what is missing is there.
+func (l *Limiter) retryAfter(a *account, missing float64, now time.Time) time.Duration {
+	if !a.restored && now.Sub(l.started) < l.tolerance.Window {
+		return unsettledRetryAfter
 	}
-	wait := a.used.untilGone(missing/l.share, now)
-	if l.asked(a, now) > 0 && l.draw != nil {
+	wait := a.used.timeToFree(missing/l.reachableShare, now)
+	if l.othersDemand(a, now) > 0 && l.random != nil {
 		// Were all that were refused to come back as it leaves, it would go to few of them.
-		wait += time.Duration(l.draw() * float64(wait))
+		wait += time.Duration(l.random() * float64(wait))
 	}
 	return wait
 }
@@ -368,8 +368,8 @@
 	}
 }
 
-// Own returns what this daemon has admitted and refused.
-func (l *Limiter) Own() Counters {
+// OwnCounters returns what this daemon has admitted and refused.
+func (l *Limiter) OwnCounters() Counters {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	own := Counters{Spent: map[string]float64{}, Refused: map[string]float64{}}
@@ -389,52 +389,52 @@
 	VM          string
 	Incarnation uint64
 	Counters    Counters
-	// First is set when this daemon had not listened to a process that has been running
+	// Baseline is set when this daemon had not listened to a process that has been running
 	// for a while: what was spent before came from another source.
-	First bool
-	// Behind is how old the counts may be, and Round the time until the next ones.
-	Behind, Round time.Duration
+	Baseline bool
+	// Age is how old the counts may be, and Round the time until the next ones.
+	Age, Interval time.Duration
 }
 
-// Heard takes over a report.
-func (l *Limiter) Heard(r Report, now time.Time) {
+// ApplyReport takes over a report.
+func (l *Limiter) ApplyReport(r Report, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.behind, l.round = r.Behind, r.Round
+	l.reportAge, l.reportInterval = r.Age, r.Interval
 	key := reporter{r.VM, r.Incarnation}
-	before, known := l.heard[key]
+	before, known := l.lastCounters[key]
 	for name, a := range l.accounts {
 		a.used.advance(now)
-		if r.First {
+		if r.Baseline {
 			// Between two sources what others spent is told by none. Each is taken to have
 			// spent what it spent before, or as much as this daemon: while all leads were dead
 			// a workspace that had become hot used a quarter of its allowance untold.
 			if l.alone {
 				continue
 			}
-			like := (a.spent - a.spentAtNews) * float64(l.peers)
-			a.used.add(max(a.others.missed(now), like), now)
-			a.others.heardAt, a.others.disturbedAt, a.spentAtNews = now, now, a.spent
+			like := (a.spent - a.spentAtReport) * float64(l.reachablePeers)
+			a.used.add(max(a.peers.unreportedSpend(now), like), now)
+			a.peers.reportedAt, a.peers.changedAt, a.spentAtReport = now, now, a.spent
 			continue
 		}
 		spent := r.Counters.Spent[name] - before.Spent[name]
 		refused := r.Counters.Refused[name] - before.Refused[name]
 		if spent < 0 {
-			a.used.takeBack(-spent)
+			a.used.removeNewest(-spent)
 		} else {
 			a.used.add(spent, now)
 		}
 		if !l.alone {
-			a.others.hear(spent, refused, l.peersHeard(), now)
-			a.spentAtNews = a.spent
+			a.peers.observe(spent, refused, l.reachablePeerShare(), now)
+			a.spentAtReport = a.spent
 		}
 	}
 	if !known {
-		for old := range l.heard {
+		for old := range l.lastCounters {
 			if old.vm == r.VM {
-				delete(l.heard, old)
+				delete(l.lastCounters, old)
 			}
 		}
 	}
-	l.heard[key] = r.Counters
+	l.lastCounters[key] = r.Counters
 }
--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -12,26 +12,26 @@
 	_ "github.com/plankridge/plankridge/internal/standin/fixedseed"
 )
 
-// never is a draw that wins nothing.
-func never() float64 { return 1 }
+// neverAdmit is a draw that wins nothing.
+func neverAdmit() float64 { return 1 }
 
-// full returns the limiter of a sole daemon that knows so and has long been running.
-func full(rate, burst float64) (*Limiter, time.Time) {
-	l := NewLimiter(Tolerance{}, start, never)
-	l.SetReach(1, 1, start)
+// newSoleLimiter returns the limiter of a sole daemon that knows so and has long been running.
+func newSoleLimiter(rate, burst float64) (*Limiter, time.Time) {
+	l := NewLimiter(Tolerance{}, start, neverAdmit)
+	l.SetReachable(1, 1, start)
 	now := start.Add(time.Hour)
-	l.ApplyCatalog(limited(rate, burst), now)
+	l.ApplyCatalog(testCatalog(rate, burst), now)
 	return l, now
 }
 
-func spentBy(tokens float64) Counters { return Counters{Spent: map[string]float64{"w": tokens}} }
+func spentCounters(tokens float64) Counters { return Counters{Spent: map[string]float64{"w": tokens}} }
 
-func (l *Limiter) usedNow() float64 { return l.accounts["w"].used.sum() }
+func (l *Limiter) usedTokens() float64 { return l.accounts["w"].used.sum() }
 
-// TestWindowIsAllowedAndNoMore: the rate over the window and one burst, at whatever pace.
-func TestWindowIsAllowedAndNoMore(t *testing.T) {
+// TestWindowLimit: the rate over the window and one burst, at whatever pace.
+func TestWindowLimit(t *testing.T) {
 	c := qt.New(t)
-	l, now := full(100, 50)
+	l, now := newSoleLimiter(100, 50)
 	ok := l.Admit("w", 850, now).Admitted
 	c.Check(ok, qt.IsTrue, qt.Commentf("8 s of the rate and the burst, at once"))
 	refused := l.Admit("w", 1, now)
@@ -46,10 +46,10 @@
 	c.Check(ok, qt.IsTrue)
 }
 
-// TestAdviceIsWhenEnoughHasLeft: not when the first of it has.
-func TestAdviceIsWhenEnoughHasLeft(t *testing.T) {
+// TestRetryAfterCoversRequest: not when the first of it has.
+func TestRetryAfterCoversRequest(t *testing.T) {
 	c := qt.New(t)
-	l, now := full(100, 50)
+	l, now := newSoleLimiter(100, 50)
 	for range 8 {
 		ok := l.Admit("w", 100, now).Admitted
 		c.Assert(ok, qt.IsTrue)
@@ -63,72 +63,72 @@
 	c.Check(wait > 4*time.Second && wait < 5*time.Second, qt.IsTrue, qt.Commentf("%v", wait))
 }
 
-func TestNothingIsKnownOfBeforeTheStart(t *testing.T) {
+func TestStartWithoutSnapshotRefuses(t *testing.T) {
 	c := qt.New(t)
-	l := NewLimiter(Tolerance{}, start, never)
-	l.ApplyCatalog(limited(100, 50), start)
+	l := NewLimiter(Tolerance{}, start, neverAdmit)
+	l.ApplyCatalog(testCatalog(100, 50), start)
 	refused := l.Admit("w", 10, start)
 	c.Check(refused.Admitted, qt.IsFalse, qt.Commentf("others may have used all a moment ago"))
-	c.Check(refused.RetryAfter, qt.Equals, untilSettled)
-	l.SetReach(1, 1, start)
-	ok := l.Admit("w", 10, start.Add(usualWindow)).Admitted
+	c.Check(refused.RetryAfter, qt.Equals, unsettledRetryAfter)
+	l.SetReachable(1, 1, start)
+	ok := l.Admit("w", 10, start.Add(defaultWindow)).Admitted
 	c.Check(ok, qt.IsTrue, qt.Commentf("by then it does not matter"))
 }
 
-func TestPeersUseIsTaken(t *testing.T) {
+func TestPeerUsageCounts(t *testing.T) {
 	c := qt.New(t)
-	l, now := full(100, 50)
-	l.Heard(Report{VM: "peer", Incarnation: 1, Counters: spentBy(10_000), First: true}, now)
+	l, now := newSoleLimiter(100, 50)
+	l.ApplyReport(Report{VM: "peer", Incarnation: 1, Counters: spentCounters(10_000), Baseline: true}, now)
 	ok := l.Admit("w", 10, now).Admitted
 	c.Check(ok, qt.IsTrue, qt.Commentf("a first report tells of the past"))
-	l.Heard(Report{VM: "peer", Incarnation: 1, Counters: spentBy(10_840)}, now)
+	l.ApplyReport(Report{VM: "peer", Incarnation: 1, Counters: spentCounters(10_840)}, now)
 	ok = l.Admit("w", 10, now).Admitted
 	c.Check(ok, qt.IsFalse)
 	// A restarted process begins anew.
-	l.Heard(Report{VM: "peer", Incarnation: 2, Counters: spentBy(5)}, now)
-	c.Check(l.usedNow(), qt.Equals, 855.0)
+	l.ApplyReport(Report{VM: "peer", Incarnation: 2, Counters: spentCounters(5)}, now)
+	c.Check(l.usedTokens(), qt.Equals, 855.0)
 }
 
-func TestLowerLimitBindsAtOnce(t *testing.T) {
+func TestLowerLimitAppliesAtOnce(t *testing.T) {
 	c := qt.New(t)
-	l, now := full(1000, 1000)
-	l.ApplyCatalog(limited(10, 10), now)
+	l, now := newSoleLimiter(1000, 1000)
+	l.ApplyCatalog(testCatalog(10, 10), now)
 	ok := l.Admit("w", 91, now).Admitted
 	c.Check(ok, qt.IsTrue, qt.Commentf("more than the whole allowance goes to an empty window"))
 	ok = l.Admit("w", 1, now).Admitted
 	c.Check(ok, qt.IsFalse)
 }
 
-func TestRefundOfWhatHasNotRun(t *testing.T) {
+func TestRefund(t *testing.T) {
 	c := qt.New(t)
-	l, now := full(100, 50)
+	l, now := newSoleLimiter(100, 50)
 	_ = l.Admit("w", 850, now)
 	l.Refund("w", 50, now)
 	ok := l.Admit("w", 50, now).Admitted
 	c.Check(ok, qt.IsTrue)
-	c.Check(l.Own().Spent["w"], qt.Equals, 850.0)
+	c.Check(l.OwnCounters().Spent["w"], qt.Equals, 850.0)
 }
 
-// TestLateRefundTakesNothingFromOthers: what was admitted has left the window, and what is
+// TestRefundAfterWindow: what was admitted has left the window, and what is
 // in it was used by others.
-func TestLateRefundTakesNothingFromOthers(t *testing.T) {
+func TestRefundAfterWindow(t *testing.T) {
 	c := qt.New(t)
-	l, now := full(100, 50)
+	l, now := newSoleLimiter(100, 50)
 	_ = l.Admit("w", 400, now)
 	later := now.Add(9 * time.Second)
 	_ = l.Admit("w", 850, later)
 	l.Refund("w", 400, now)
-	c.Check(l.usedNow(), qt.Equals, 850.0)
+	c.Check(l.usedTokens(), qt.Equals, 850.0)
 	c.Check(l.Admit("w", 1, later).Admitted, qt.IsFalse)
 }
 
-// TestRefusedTokensAreTold: others learn from them how much is asked for.
-func TestRefusedTokensAreTold(t *testing.T) {
+// TestRefusedTokensAreCounted: others learn from them how much is asked for.
+func TestRefusedTokensAreCounted(t *testing.T) {
 	c := qt.New(t)
-	l, now := full(100, 50)
+	l, now := newSoleLimiter(100, 50)
 	_ = l.Admit("w", 800, now)
 	_ = l.Admit("w", 70, now)
-	c.Check(l.Own(), qt.DeepEquals, Counters{Spent: map[string]float64{"w": 800}, Refused: map[string]float64{"w": 70}})
+	c.Check(l.OwnCounters(), qt.DeepEquals, Counters{Spent: map[string]float64{"w": 800}, Refused: map[string]float64{"w": 70}})
 }
 
 // TestSidesOfAPartitionStayWithin: whatever is asked of the daemons on both
@@ -143,16 +143,16 @@
 		limiters := make([]*Limiter, daemons)
 		now := start.Add(time.Hour)
 		for i := range limiters {
-			limiters[i] = NewLimiter(Tolerance{}, start, never)
-			limiters[i].SetReach(daemons, daemons, start)
-			limiters[i].ApplyCatalog(limited(rate, burst), now)
-			limiters[i].Heard(Report{VM: "before", Incarnation: 1}, now)
-			limiters[i].Heard(Report{VM: "before", Incarnation: 1, Counters: spentBy(before)}, now)
+			limiters[i] = NewLimiter(Tolerance{}, start, neverAdmit)
+			limiters[i].SetReachable(daemons, daemons, start)
+			limiters[i].ApplyCatalog(testCatalog(rate, burst), now)
+			limiters[i].ApplyReport(Report{VM: "before", Incarnation: 1}, now)
+			limiters[i].ApplyReport(Report{VM: "before", Incarnation: 1, Counters: spentCounters(before)}, now)
 			heard := left
 			if i >= left {
 				heard = daemons - left
 			}
-			limiters[i].SetReach(heard, daemons, now.Add(200*time.Millisecond))
+			limiters[i].SetReachable(heard, daemons, now.Add(200*time.Millisecond))
 		}
 		now = now.Add(200 * time.Millisecond)
 		const ticks = 75
@@ -160,13 +160,13 @@
 			now = now.Add(100 * time.Millisecond)
 			for i, l := range limiters {
 				if l.Admit("w", rapid.Float64Range(1, largest).Draw(t, "tokens"), now).Admitted {
-					tell(limiters, i, left, now)
+					reportToSide(limiters, i, left, now)
 				}
 			}
 		}
 		used := before
 		for _, l := range limiters {
-			used += l.Own().Spent["w"]
+			used += l.OwnCounters().Spent["w"]
 		}
 		if most := burst + 8*rate; used > most+1e-6 {
 			t.Fatalf("used %v of %v", used, most)
@@ -174,23 +174,23 @@
 	})
 }
 
-// tell passes a daemon's report on to those on its side of the partition.
-func tell(limiters []*Limiter, from, left int, now time.Time) {
+// reportToSide passes a daemon's report on to those on its side of the partition.
+func reportToSide(limiters []*Limiter, from, left int, now time.Time) {
 	for i, l := range limiters {
 		if i != from && (i < left) == (from < left) {
-			l.Heard(Report{VM: string(rune('a' + from)), Incarnation: 1, Counters: limiters[from].Own()}, now)
+			l.ApplyReport(Report{VM: string(rune('a' + from)), Incarnation: 1, Counters: limiters[from].OwnCounters()}, now)
 		}
 	}
 }
 
-func TestDaemonThatIsCutOffUsesItsOwnPart(t *testing.T) {
+func TestPartitionedDaemonUsesItsShare(t *testing.T) {
 	c := qt.New(t)
-	l, now := full(1000, 1000)
-	l.SetReach(4, 4, now)
-	l.Heard(Report{VM: "sums", Incarnation: 1}, now)
-	l.Heard(Report{VM: "sums", Incarnation: 1, Counters: spentBy(5000)}, now)
+	l, now := newSoleLimiter(1000, 1000)
+	l.SetReachable(4, 4, now)
+	l.ApplyReport(Report{VM: "sums", Incarnation: 1}, now)
+	l.ApplyReport(Report{VM: "sums", Incarnation: 1, Counters: spentCounters(5000)}, now)
 	now = now.Add(time.Second)
-	l.SetReach(1, 4, now)
+	l.SetReachable(1, 4, now)
 	ok := l.Admit("w", 1000, now).Admitted
 	c.Check(ok, qt.IsTrue, qt.Commentf("a quarter of the 4000 that are left"))
 	ok = l.Admit("w", 100, now).Admitted
@@ -200,9 +200,9 @@
 	c.Check(ok, qt.IsTrue, qt.Commentf("a quarter of all, once what was used before the cut has left"))
 }
 
-// TestChanceGivesSmallPartsToLargeRequests: where a daemon's part is a tenth of a
+// TestLargeRequestsAreAdmittedByChance: where a daemon's part is a tenth of a
 // request, it admits a tenth of such requests.
-func TestChanceGivesSmallPartsToLargeRequests(t *testing.T) {
+func TestLargeRequestsAreAdmittedByChance(t *testing.T) {
 	c := qt.New(t)
 	draws := []float64{0.11, 0.09}
 	draw := func() float64 {
@@ -212,8 +212,8 @@
 	}
 	l := NewLimiter(Tolerance{}, start, draw)
 	now := start.Add(time.Hour)
-	l.ApplyCatalog(limited(1000, 1000), now)
-	l.SetReach(1, 90, now)
+	l.ApplyCatalog(testCatalog(1000, 1000), now)
+	l.SetReachable(1, 90, now)
 	ok := l.Admit("w", 1000, now).Admitted
 	c.Check(ok, qt.IsFalse)
 	ok = l.Admit("w", 1000, now).Admitted
@@ -222,7 +222,7 @@
 	c.Check(ok, qt.IsFalse, qt.Commentf("the part is used up"))
 }
 
-func TestWindowLetsGoInTime(t *testing.T) {
+func TestWindowExpiry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWindow(8*time.Second, start)
 		at := start
@@ -242,7 +242,7 @@
 				if at.Sub(u.at) < 8*time.Second {
 					least += u.tokens
 				}
-				if at.Sub(u.at) < 8*time.Second+2*w.width {
+				if at.Sub(u.at) < 8*time.Second+2*w.slotWidth {
 					most += u.tokens
 				}
 			}
@@ -253,18 +253,18 @@
 	})
 }
 
-// TestWorkspaceThatIsNamedAgainGoesOn guards against an allowance that is there twice, and counters that start again,
+// TestReconfiguredWorkspaceKeepsUsage guards against an allowance that is there twice, and counters that start again,
 // where a configuration leaves a workspace out for a moment.
-func TestWorkspaceThatIsNamedAgainGoesOn(t *testing.T) {
+func TestReconfiguredWorkspaceKeepsUsage(t *testing.T) {
 	c := qt.New(t)
-	l, now := full(100, 50)
+	l, now := newSoleLimiter(100, 50)
 	c.Assert(l.Admit("w", 840, now).Admitted, qt.IsTrue)
 	l.ApplyCatalog((&catalog.Catalog{}).Build(), now)
 	now = now.Add(time.Second)
-	l.ApplyCatalog(limited(100, 50), now)
+	l.ApplyCatalog(testCatalog(100, 50), now)
 	c.Check(l.Admit("w", 840, now).Admitted, qt.IsFalse)
-	c.Check(l.Own().Spent["w"], qt.Equals, 840.0)
+	c.Check(l.OwnCounters().Spent["w"], qt.Equals, 840.0)
 	l.ApplyCatalog((&catalog.Catalog{}).Build(), now)
 	l.ApplyCatalog((&catalog.Catalog{}).Build(), now.Add(time.Minute))
-	c.Check(l.Own().Spent, qt.HasLen, 0, qt.Commentf("a workspace is forgotten with its window"))
+	c.Check(l.OwnCounters().Spent, qt.HasLen, 0, qt.Commentf("a workspace is forgotten with its window"))
 }
--- a/internal/allowance/isolation_test.go
+++ b/internal/allowance/isolation_test.go
@@ -12,13 +12,13 @@
 func TestDemandIsKnownAfterIsolation(t *testing.T) {
 	for _, heard := range []int{1, 3} {
 		c := qt.New(t)
-		l := NewLimiter(contract, start, func() float64 { return 1 })
-		l.Open(Opening{}, start)
-		l.ApplyCatalog(limited(1000, 1000), start)
+		l := NewLimiter(testTolerance, start, func() float64 { return 1 })
+		l.Restore(Snapshot{}, start)
+		l.ApplyCatalog(testCatalog(1000, 1000), start)
 		now := start.Add(time.Minute)
 		tell := func(reach int, refused float64) {
-			l.SetReach(reach, 9, now)
-			l.Heard(Report{VM: "lead", Counters: Counters{Refused: map[string]float64{"w": refused}}, Round: 150 * time.Millisecond}, now)
+			l.SetReachable(reach, 9, now)
+			l.ApplyReport(Report{VM: "lead", Counters: Counters{Refused: map[string]float64{"w": refused}}, Interval: 150 * time.Millisecond}, now)
 			now = now.Add(150 * time.Millisecond)
 		}
 		refused := 0.0
@@ -26,14 +26,14 @@
 			refused += 80_000 * 0.15
 			tell(9, refused)
 		}
-		before := l.asked(l.accounts["w"], now)
+		before := l.othersDemand(l.accounts["w"], now)
 		c.Assert(before > 60_000, qt.IsTrue, qt.Commentf("%.0f a second", before))
 		for range 20 {
 			refused += 80_000 * 0.15 * float64(heard-1) / 8
 			tell(heard, refused)
 		}
-		l.SetReach(9, 9, now)
-		after := l.asked(l.accounts["w"], now)
+		l.SetReachable(9, 9, now)
+		after := l.othersDemand(l.accounts["w"], now)
 		c.Check(after > 0.8*before, qt.IsTrue, qt.Commentf("%d heard: %.0f a second, %.0f before", heard, after, before))
 	}
 }
--- a/internal/allowance/most_test.go
+++ b/internal/allowance/most_test.go
@@ -13,16 +13,16 @@
 func TestDeathOfMostWhileAWorkspaceIsHot(t *testing.T) {
 	for name, cut := range map[string]bool{"alone": false, "after a cut": true} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 8, func(r *rand.Rand) script {
-				hot := ms(r, 12_000, 15_000)
-				at := hot + ms(r, 0, 4000)
-				events := []event{{at: at, until: at + ms(r, 500, 2000), dead: 0.6}}
+			runScenarios(t, 8, func(r *rand.Rand) scenario {
+				hot := randMs(r, 12_000, 15_000)
+				at := hot + randMs(r, 0, 4000)
+				events := []fault{{at: at, until: at + randMs(r, 500, 2000), deadShare: 0.6}}
 				if cut {
-					healed := hot - ms(r, 0, 3000)
-					events = append(events, event{at: healed - 5*time.Second, until: healed, cut: true, zone: 1})
+					healed := hot - randMs(r, 0, 3000)
+					events = append(events, fault{at: healed - 5*time.Second, until: healed, partition: true, zone: 1})
 				}
-				return script{hot: hot, x: 3 + 1.5*r.Float64(), events: events}
-			}, func(c *qt.C, name string, worst, refused float64) { kept(c, name, worst, refused) })
+				return scenario{jumpAt: hot, jumpFactor: 3 + 1.5*r.Float64(), faults: events}
+			}, func(c *qt.C, name string, worst, refused float64) { checkLimitKept(c, name, worst, refused) })
 		})
 	}
 }
--- a/internal/allowance/rates.go
+++ b/internal/allowance/rates.go
@@ -10,19 +10,19 @@
 	defer l.mu.Unlock()
 	a := l.accounts[name]
 	if a == nil {
-		a = &account{likeOwn: true}
+		a = &account{assumeOwnDemand: true}
 		l.accounts[name] = a
 	}
 	limited := a.rate > 0
-	a.rate, a.limit, a.opened = rate, rate*l.tolerance.Window.Seconds(), true
+	a.rate, a.limit, a.restored = rate, rate*l.tolerance.Window.Seconds(), true
 	if rate > 0 && !limited {
 		a.used = l.fullWindow(a.limit, now)
-		a.others = others{}
+		a.peers = peerActivity{}
 	}
 }
 
-// Drop closes an account that SetRate has opened.
-func (l *Limiter) Drop(name string) {
+// Remove closes an account that SetRate has opened.
+func (l *Limiter) Remove(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.accounts, name)
@@ -33,14 +33,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[name]
-	return a != nil && a.rate > 0 && a.own.rate(now)+l.asked(a, now) > a.rate
+	return a != nil && a.rate > 0 && a.ownDemand.rate(now)+l.othersDemand(a, now) > a.rate
 }
 
 // fullWindow returns a window in which the limit was used evenly.
 func (l *Limiter) fullWindow(limit float64, now time.Time) window {
 	full := newWindow(l.tolerance.Window, now)
-	for part := range slots {
-		full.add(limit/slots, now.Add(-time.Duration(part)*full.width))
+	for part := range slotCount {
+		full.add(limit/slotCount, now.Add(-time.Duration(part)*full.slotWidth))
 	}
 	return full
 }
--- a/internal/allowance/rates_test.go
+++ b/internal/allowance/rates_test.go
@@ -7,15 +7,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// small is a tolerance of a few requests, as for the limits of servers.
-var small = Tolerance{Window: 4 * time.Second, Over: 0.5, Tokens: 3}
+// smallTolerance is a tolerance of a few requests, as for the limits of servers.
+var smallTolerance = Tolerance{Window: 4 * time.Second, Fraction: 0.5, Tokens: 3}
 
 func TestNewRateStartsUsedUp(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	l := NewLimiter(small, now, nil)
+	l := NewLimiter(smallTolerance, now, nil)
 	now = now.Add(time.Minute)
-	l.SetReach(1, 1, now)
+	l.SetReachable(1, 1, now)
 	l.SetRate("s", 10, now)
 	sent := 0
 	for range 80 {
@@ -27,30 +27,30 @@
 	c.Check(sent >= 40 && sent <= 50, qt.IsTrue, qt.Commentf("%d in the first 4 s at 10 a second", sent))
 }
 
-func TestRateThatIsLiftedAndNamedAgain(t *testing.T) {
+func TestRateIsLiftedAndSetAgain(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	l := NewLimiter(small, now, nil)
-	l.SetReach(1, 1, now)
+	l := NewLimiter(smallTolerance, now, nil)
+	l.SetReachable(1, 1, now)
 	l.SetRate("s", 1, now)
 	c.Check(l.Admit("s", 100, now).Admitted, qt.IsFalse)
 	l.SetRate("s", 0, now)
 	c.Check(l.Admit("s", 100, now).Admitted, qt.IsTrue)
-	c.Check(l.Own().Spent, qt.HasLen, 0, qt.Commentf("what is not limited is not counted"))
+	c.Check(l.OwnCounters().Spent, qt.HasLen, 0, qt.Commentf("what is not limited is not counted"))
 	now = now.Add(time.Minute)
 	l.SetRate("s", 1, now)
 	verdict := l.Admit("s", 4, now)
 	c.Check(verdict.Admitted, qt.IsFalse)
 	c.Check(verdict.RetryAfter > 0, qt.IsTrue)
-	l.Drop("s")
-	c.Check(l.Own().Refused, qt.HasLen, 0)
+	l.Remove("s")
+	c.Check(l.OwnCounters().Refused, qt.HasLen, 0)
 }
 
-func TestRateBindsWhenAllTogetherAskForMore(t *testing.T) {
+func TestRateBinds(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	l := NewLimiter(small, now, nil)
-	l.SetReach(1, 1, now)
+	l := NewLimiter(smallTolerance, now, nil)
+	l.SetReachable(1, 1, now)
 	l.SetRate("s", 4, now)
 	for range 6 {
 		now = now.Add(500 * time.Millisecond)
@@ -75,8 +75,8 @@
 	next := func() float64 { draw += 0.6180339887; draw -= float64(int(draw)); return draw }
 	var all []*Limiter
 	for range daemons {
-		l := NewLimiter(small, now, next)
-		l.SetReach(daemons, daemons, now)
+		l := NewLimiter(smallTolerance, now, next)
+		l.SetReachable(daemons, daemons, now)
 		l.SetRate("s", 4, now)
 		all = append(all, l)
 	}
@@ -85,7 +85,7 @@
 		now = now.Add(50 * time.Millisecond)
 		for i, l := range all {
 			if tick == 40 {
-				l.SetReach(2, daemons, now)
+				l.SetReachable(2, daemons, now)
 			}
 			if (tick+i)%6 == 0 && l.Admit("s", 1, now).Admitted {
 				sent++
--- a/internal/allowance/standstill_test.go
+++ b/internal/allowance/standstill_test.go
@@ -7,20 +7,20 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// stood returns a limiter of one of eight daemons that had admitted some tokens of its own, and
+// newStalledLimiter returns a limiter of one of eight daemons that had admitted some tokens of its own, and
 // stood still for four seconds.
-func stood(c *qt.C, own float64) (l *Limiter, now time.Time) {
-	l = NewLimiter(contract, start, func() float64 { return 0.5 })
-	l.Open(Opening{}, start)
-	l.ApplyCatalog(limited(100_000, 100_000), start)
+func newStalledLimiter(c *qt.C, own float64) (l *Limiter, now time.Time) {
+	l = NewLimiter(testTolerance, start, func() float64 { return 0.5 })
+	l.Restore(Snapshot{}, start)
+	l.ApplyCatalog(testCatalog(100_000, 100_000), start)
 	now = start.Add(time.Minute)
-	l.SetReach(8, 8, now)
-	l.Heard(Report{VM: "lead", Round: 150 * time.Millisecond}, now)
-	l.Heard(Report{VM: "lead", Round: 150 * time.Millisecond}, now.Add(150*time.Millisecond))
+	l.SetReachable(8, 8, now)
+	l.ApplyReport(Report{VM: "lead", Interval: 150 * time.Millisecond}, now)
+	l.ApplyReport(Report{VM: "lead", Interval: 150 * time.Millisecond}, now.Add(150*time.Millisecond))
 	now = now.Add(200 * time.Millisecond)
 	c.Assert(l.Admit("w", own, now).Admitted, qt.IsTrue)
 	now = now.Add(4 * time.Second)
-	l.StoodStill(now)
+	l.ResumeAfterStall(now)
 	return l, now
 }
 
@@ -28,40 +28,40 @@
 // has counted all the while takes the place of what was known before.
 func TestStoodStillAdmitsLittleUntilTold(t *testing.T) {
 	c := qt.New(t)
-	l, now := stood(c, 50_000)
+	l, now := newStalledLimiter(c, 50_000)
 	c.Check(l.Admit("w", 100_000, now).Admitted, qt.IsFalse)
-	_, known := l.Uses(now)
+	_, known := l.Usage(now)
 	c.Check(known, qt.IsFalse)
-	c.Check(l.Counted(now), qt.Equals, time.Duration(0))
+	c.Check(l.CountedFor(now), qt.Equals, time.Duration(0))
 
-	full := Use{0, 0, 0, 200_000, 200_000, 200_000, 200_000, 90_000}
-	c.Check(l.TakeUses(map[string]Use{"w": full}, nil, time.Minute, now.Add(200*time.Millisecond)), qt.IsTrue)
+	full := Usage{0, 0, 0, 200_000, 200_000, 200_000, 200_000, 90_000}
+	c.Check(l.AdoptFromPeer(map[string]Usage{"w": full}, nil, time.Minute, now.Add(200*time.Millisecond)), qt.IsTrue)
 	now = now.Add(200 * time.Millisecond)
 	c.Check(l.accounts["w"].used.sum(), qt.Equals, 890_000.0)
 	c.Check(l.Admit("w", 100_000, now).Admitted, qt.IsFalse)
-	c.Check(l.Counted(now), qt.Equals, time.Minute)
-	_, known = l.Uses(now)
+	c.Check(l.CountedFor(now), qt.Equals, time.Minute)
+	_, known = l.Usage(now)
 	c.Check(known, qt.IsTrue)
-	c.Check(l.TakeUses(map[string]Use{}, nil, time.Hour, now), qt.IsFalse)
+	c.Check(l.AdoptFromPeer(map[string]Usage{}, nil, time.Hour, now), qt.IsFalse)
 }
 
 // TestStoodStillTakesNothingFromThoseThatDid: daemons that stood still together do not take over
 // from each other. When nobody has told anything for some rounds, nothing was used.
 func TestStoodStillTakesNothingFromThoseThatDid(t *testing.T) {
 	c := qt.New(t)
-	l, now := stood(c, 50_000)
+	l, now := newStalledLimiter(c, 50_000)
 	now = now.Add(300 * time.Millisecond)
-	c.Check(l.TakeUses(map[string]Use{"w": {900_000}}, nil, 350*time.Millisecond, now), qt.IsFalse)
+	c.Check(l.AdoptFromPeer(map[string]Usage{"w": {900_000}}, nil, 350*time.Millisecond, now), qt.IsFalse)
 	c.Check(l.Admit("w", 6_000, now).Admitted, qt.IsFalse)
-	now = now.Add(catchUpRounds*150*time.Millisecond + catchUpMargin)
+	now = now.Add(catchUpIntervals*150*time.Millisecond + catchUpMargin)
 	c.Check(l.Admit("w", 6_000, now).Admitted, qt.IsTrue)
 }
 
 // TestStoodStillKeepsWhatItAdmittedSince: what others tell does not hold it yet.
 func TestStoodStillKeepsWhatItAdmittedSince(t *testing.T) {
 	c := qt.New(t)
-	l, now := stood(c, 50_000)
+	l, now := newStalledLimiter(c, 50_000)
 	c.Check(l.Admit("w", 500, now).Admitted, qt.IsTrue)
-	l.TakeUses(map[string]Use{"w": {0, 0, 0, 0, 0, 0, 0, 60_000}}, nil, time.Minute, now)
+	l.AdoptFromPeer(map[string]Usage{"w": {0, 0, 0, 0, 0, 0, 0, 60_000}}, nil, time.Minute, now)
 	c.Check(l.accounts["w"].used.sum(), qt.Equals, 60_500.0)
 }
--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -30,9 +30,9 @@
 }
 
 type series struct {
-	objective float64
-	buckets   [bucketCount]counts
-	newest    int64
+	objective    float64
+	buckets      [bucketCount]counts
+	newestMinute int64
 }
 
 // Recorder counts requests in memory. Its history goes with the daemon; the
@@ -53,7 +53,7 @@
 	s := r.series[key]
 	minute := now.Unix() / int64(bucketSpan/time.Second)
 	if s == nil {
-		s = &series{newest: minute}
+		s = &series{newestMinute: minute}
 		r.series[key] = s
 	}
 	s.objective = objective
@@ -68,13 +68,13 @@
 
 // advance clears the buckets between the newest minute and this one.
 func (s *series) advance(minute int64) {
-	if minute-s.newest >= int64(bucketCount) {
+	if minute-s.newestMinute >= int64(bucketCount) {
 		s.buckets = [bucketCount]counts{}
-		s.newest = minute
+		s.newestMinute = minute
 	}
-	for s.newest < minute {
-		s.newest++
-		s.buckets[s.newest%int64(bucketCount)] = counts{}
+	for s.newestMinute < minute {
+		s.newestMinute++
+		s.buckets[s.newestMinute%int64(bucketCount)] = counts{}
 	}
 }
 
--- a/internal/dispatch/replicate.go
+++ b/internal/dispatch/replicate.go
@@ -213,7 +213,7 @@
 	if spec.Key != nil && d.options.PrepareKeyed != nil {
 		flight.prepare = d.options.PrepareKeyed(spec)
 	}
-	d.options.Limiter.Adopt(spec.Workspace)
+	d.options.Limiter.CountInFlight(spec.Workspace)
 	err := d.start(flight)
 	if err != nil {
 		d.options.Limiter.Release(spec.Workspace)
--- a/internal/duty/exchange.go
+++ b/internal/duty/exchange.go
@@ -104,9 +104,9 @@
 		switch {
 		case object.Name == e.Self:
 		case counts.WholeZone && counts.Zone != zone:
-			e.Ledger.HeardZone(counts.Zone, counts.Windows)
+			e.Ledger.MergeZone(counts.Zone, counts.Windows)
 		case !counts.WholeZone && counts.Zone == zone:
-			e.Ledger.Heard(object.Name, counts.Incarnation, counts.Windows)
+			e.Ledger.MergePeer(object.Name, counts.Incarnation, counts.Windows)
 		}
 	}
 }
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -56,7 +56,7 @@
 		return r.endNotSent(ctx, choice, err)
 	}
 	if r.sentAttempts++; r.sentAttempts == 1 {
-		r.options.Budget.Count(r.call.Service, time.Now())
+		r.options.Budget.CountRequest(r.call.Service, time.Now())
 	}
 	if choice.Candidate && r.options.RollOuts != nil {
 		r.options.RollOuts.RecordExposure(r.call.Service)
@@ -174,7 +174,7 @@
 		return
 	}
 	r.usageCounted = true
-	r.options.Usage.Began(r.call.Workspace, at)
+	r.options.Usage.RequestStarted(r.call.Workspace, at)
 }
 
 // handleAnswer handles the header of an answer.
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -190,15 +190,15 @@
 
 // Budget bounds the retries, which are all attempts of a request beyond its first.
 type Budget interface {
-	// Count counts the first attempt of a request.
-	Count(service string, now time.Time)
-	// Take reports whether another attempt is within the budget, and counts it.
-	Take(service string, now time.Time) bool
+	// CountRequest counts the first attempt of a request.
+	CountRequest(service string, now time.Time)
+	// TryRetry reports whether another attempt is within the budget, and counts it.
+	TryRetry(service string, now time.Time) bool
 }
 
 // Usage counts the requests that servers began to run.
 type Usage interface {
-	Began(workspace string, at time.Time)
+	RequestStarted(workspace string, at time.Time)
 }
 
 // Quarantine blocks requests that crash the servers that run them.
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -259,7 +259,7 @@
 		if refusal := r.chargeRepeat(); refusal != nil {
 			return r.giveUp(ctx, refusal)
 		}
-		if r.sentAttempts > 0 && !r.options.Budget.Take(r.call.Service, now) {
+		if r.sentAttempts > 0 && !r.options.Budget.TryRetry(r.call.Service, now) {
 			return r.giveUp(ctx, &Refusal{Status: http.StatusServiceUnavailable, Reason: "retry budget is spent", RetryAfter: retryAfterTransient})
 		}
 		choice, ok := r.options.View.Begin(r.need(), now)
--- a/internal/forward/record.go
+++ b/internal/forward/record.go
@@ -64,8 +64,8 @@
 	}
 	if v := r.verdict; v != nil {
 		attrs = append(attrs, "allowance_limit", int64(v.Limit), "allowance_used", int64(v.Used), "allowance_free", int64(v.Free),
-			"allowance_unheard", int64(v.Unheard), "allowance_asked", int64(v.Asked), "allowance_heard_ms", v.HeardAgo.Milliseconds(),
-			"allowance_drawn", v.Drawn, "allowance_share", v.Share, "allowance_opened", v.Opened)
+			"allowance_unheard", int64(v.Unreported), "allowance_asked", int64(v.OthersDemand), "allowance_heard_ms", v.ReportAge.Milliseconds(),
+			"allowance_drawn", v.ByChance, "allowance_share", v.ReachableShare, "allowance_opened", v.Restored)
 	}
 	if err != nil {
 		attrs = append(attrs, "reason", err.Error())
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -44,7 +44,7 @@
 	// WrittenAtMs is the wall-clock time of the snapshot, in milliseconds since 1970.
 	WrittenAtMs int64 `json:"written_ms,omitempty"`
 	// RecentUses is the recent usage by workspace.
-	RecentUses map[string]allowance.Use `json:"uses,omitempty"`
+	RecentUses map[string]allowance.Usage `json:"uses,omitempty"`
 	// DemandRates is the total demand at all daemons by workspace, in tokens per second.
 	DemandRates map[string]float64 `json:"asked"`
 	// Warmup is set if the holder had just started to count RecentUses.
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -13,23 +13,23 @@
 
 // Limiter holds what the workspaces have used of their limits at this daemon.
 type Limiter struct {
-	mu         sync.Mutex
-	daemons    int
-	latest     time.Time
-	workspaces map[string]*usage
+	mu          sync.Mutex
+	daemons     int
+	lastAdmitAt time.Time
+	workspaces  map[string]*workspaceState
 }
 
-type usage struct {
-	// named is set while the generation in force names the workspace.
-	named    bool
-	limits   config.Limits
-	bucket   *rate.Limiter
-	inFlight int
+type workspaceState struct {
+	// configured is set while the generation in force names the workspace.
+	configured bool
+	limits     config.Limits
+	bucket     *rate.Limiter
+	inFlight   int
 }
 
 // NewLimiter returns a limiter without workspaces.
 func NewLimiter() *Limiter {
-	return &Limiter{daemons: 1, workspaces: map[string]*usage{}}
+	return &Limiter{daemons: 1, workspaces: map[string]*workspaceState{}}
 }
 
 // ApplyConfig takes over the limits of a new generation. What is in flight
@@ -37,19 +37,19 @@
 func (l *Limiter) ApplyConfig(index *config.Index) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	next := map[string]*usage{}
+	next := map[string]*workspaceState{}
 	for _, workspace := range index.Deployment.Workspaces {
 		entry := l.workspaces[workspace.Name]
 		if entry == nil {
-			entry = &usage{}
+			entry = &workspaceState{}
 		}
-		entry.named, entry.limits = true, workspace.Limits
-		entry.setRate(l.daemons, l.latest)
+		entry.configured, entry.limits = true, workspace.Limits
+		entry.setRate(l.daemons, l.lastAdmitAt)
 		next[workspace.Name] = entry
 	}
 	for name, entry := range l.workspaces {
-		if next[name] == nil && !entry.idle(l.latest) {
-			entry.named = false
+		if next[name] == nil && !entry.idle(l.lastAdmitAt) {
+			entry.configured = false
 			next[name] = entry
 		}
 	}
@@ -57,7 +57,7 @@
 }
 
 // idle reports whether nothing is in flight and nothing that was used counts any more.
-func (u *usage) idle(now time.Time) bool {
+func (u *workspaceState) idle(now time.Time) bool {
 	return u.inFlight == 0 && (u.bucket == nil || u.bucket.TokensAt(now) >= float64(u.bucket.Burst()))
 }
 
@@ -67,13 +67,13 @@
 	defer l.mu.Unlock()
 	l.daemons = max(count, 1)
 	for _, entry := range l.workspaces {
-		entry.setRate(l.daemons, l.latest)
+		entry.setRate(l.daemons, l.lastAdmitAt)
 	}
 }
 
 // setRate gives this daemon an even share of the rate. The burst is a second's
 // worth of the whole limit, because a balancer does not spread callers evenly.
-func (u *usage) setRate(daemons int, now time.Time) {
+func (u *workspaceState) setRate(daemons int, now time.Time) {
 	if u.limits.RequestsPerSecond == 0 {
 		u.bucket = nil
 		return
@@ -96,8 +96,8 @@
 	Reason     string
 }
 
-// inFlightRetry is the advice to a workspace that has too much in flight.
-const inFlightRetry = time.Second
+// inFlightRetryAfter is the advice to a workspace that has too much in flight.
+const inFlightRetryAfter = time.Second
 
 // Admit counts a request in, or says why not. Each admitted request has to be
 // followed by one Release. A pinned request can only run at this daemon, so
@@ -106,17 +106,17 @@
 func (l *Limiter) Admit(workspace string, pinned bool, now time.Time) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.latest = now
+	l.lastAdmitAt = now
 	entry := l.workspaces[workspace]
-	if entry == nil || !entry.named {
+	if entry == nil || !entry.configured {
 		return Verdict{Reason: "workspace is not known"}
 	}
 	sharers := l.daemons
 	if pinned {
 		sharers = 1
 	}
-	if most := entry.shareInFlight(sharers); most > 0 && entry.inFlight >= most {
-		return Verdict{RetryAfter: inFlightRetry, Reason: "workspace has too many requests in flight"}
+	if most := entry.maxInFlight(sharers); most > 0 && entry.inFlight >= most {
+		return Verdict{RetryAfter: inFlightRetryAfter, Reason: "workspace has too many requests in flight"}
 	}
 	if entry.bucket != nil {
 		reservation := entry.bucket.ReserveN(now, 1)
@@ -129,15 +129,15 @@
 	return Verdict{Admitted: true}
 }
 
-func (u *usage) shareInFlight(daemons int) int {
+func (u *workspaceState) maxInFlight(daemons int) int {
 	if u.limits.InFlight == 0 {
 		return 0
 	}
 	return max(1, u.limits.InFlight/daemons)
 }
 
-// Adopt counts a request in that another daemon has admitted.
-func (l *Limiter) Adopt(workspace string) {
+// CountInFlight counts a request in that another daemon has admitted.
+func (l *Limiter) CountInFlight(workspace string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if entry := l.workspaces[workspace]; entry != nil {
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -25,7 +25,7 @@
 	}
 	verdict := l.Admit("w", false, now)
 	c.Check(verdict.Admitted, qt.IsFalse)
-	c.Check(verdict.RetryAfter, qt.Equals, inFlightRetry)
+	c.Check(verdict.RetryAfter, qt.Equals, inFlightRetryAfter)
 	l.Release("w")
 	c.Assert(l.Admit("w", false, now).Admitted, qt.IsTrue)
 	l.Release("w")
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestWorkspaceThatIsNamedAgainGoesOn guards against limits that are there twice where a generation leaves a workspace
+// TestReconfiguredWorkspaceKeepsUsage guards against limits that are there twice where a generation leaves a workspace
 // out for a moment.
-func TestWorkspaceThatIsNamedAgainGoesOn(t *testing.T) {
+func TestReconfiguredWorkspaceKeepsUsage(t *testing.T) {
 	c := qt.New(t)
 	l := NewLimiter()
 	now := time.Unix(1000, 0)
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -10,16 +10,16 @@
 
 // Bounds are the limits of the whole deployment.
 type Bounds struct {
-	// Ratio is the number of repeats for each request.
-	Ratio float64
-	// Extra is the number of repeats beyond that in a window.
-	Extra  float64
-	Window time.Duration
+	// RetryRatio is the number of repeats for each request.
+	RetryRatio float64
+	// ExtraRetries is the number of repeats beyond that in a window.
+	ExtraRetries float64
+	Window       time.Duration
 }
 
-// margin is the part of the budget that is used. The rest covers a window that
+// usableShare is the part of the budget that is used. The rest covers a window that
 // slides over the end of ours, and daemons that are not known yet.
-const margin = 0.75
+const usableShare = 0.75
 
 // Budget is one daemon's part.
 type Budget struct {
@@ -35,7 +35,7 @@
 
 type service struct {
 	requests counter
-	repeats  counter
+	retries  counter
 }
 
 // defaultWindow is used where no window is set.
@@ -65,44 +65,44 @@
 	return s
 }
 
-// Count notes the first sending of a request.
-func (b *Budget) Count(name string, now time.Time) {
+// CountRequest notes the first sending of a request.
+func (b *Budget) CountRequest(name string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.service(name).requests.add(b.slice(now))
+	b.service(name).requests.add(b.sliceAt(now))
 }
 
-// Take asks for one more sending and counts it when there is room.
-func (b *Budget) Take(name string, now time.Time) bool {
+// TryRetry asks for one more sending and counts it when there is room.
+func (b *Budget) TryRetry(name string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.service(name)
-	slice := b.slice(now)
+	slice := b.sliceAt(now)
 	requests := float64(s.requests.sum(slice))
-	repeats := float64(s.repeats.sum(slice))
-	allowed := margin * (b.bounds.Ratio*requests + b.bounds.Extra/float64(b.daemons))
+	repeats := float64(s.retries.sum(slice))
+	allowed := usableShare * (b.bounds.RetryRatio*requests + b.bounds.ExtraRetries/float64(b.daemons))
 	if repeats+1 > allowed {
 		return false
 	}
-	s.repeats.add(slice)
+	s.retries.add(slice)
 	return true
 }
 
-// slice numbers the slice of the window that holds a time.
-func (b *Budget) slice(now time.Time) int64 {
+// sliceAt numbers the slice of the window that holds a time.
+func (b *Budget) sliceAt(now time.Time) int64 {
 	if b.origin.IsZero() {
 		b.origin = now
 	}
-	return int64(now.Sub(b.origin) / (b.bounds.Window / slices))
+	return int64(now.Sub(b.origin) / (b.bounds.Window / slicesPerWindow))
 }
 
-// slices is the number of parts that a window is counted in.
-const slices = 20
+// slicesPerWindow is the number of parts that a window is counted in.
+const slicesPerWindow = 20
 
 // counter counts events over a sliding window.
 type counter struct {
-	counts [slices + 1]int
-	last   int64
+	counts    [slicesPerWindow + 1]int
+	lastSlice int64
 }
 
 // sum counts what lies in the window, rounded up to a whole slice.
@@ -117,13 +117,13 @@
 
 func (c *counter) add(slice int64) {
 	c.advance(slice)
-	c.counts[c.last%int64(len(c.counts))]++
+	c.counts[c.lastSlice%int64(len(c.counts))]++
 }
 
 func (c *counter) advance(slice int64) {
-	for steps := 0; c.last < slice && steps < len(c.counts); steps++ {
-		c.last++
-		c.counts[c.last%int64(len(c.counts))] = 0
+	for steps := 0; c.lastSlice < slice && steps < len(c.counts); steps++ {
+		c.lastSlice++
+		c.counts[c.lastSlice%int64(len(c.counts))] = 0
 	}
-	c.last = max(c.last, slice)
+	c.lastSlice = max(c.lastSlice, slice)
 }
--- a/internal/rollup/concise_test.go
+++ b/internal/rollup/concise_test.go
@@ -9,8 +9,8 @@
 	"github.com/plankridge/plankridge/internal/backend"
 )
 
-// busy returns the loads of so many servers, of which every fifth has none.
-func busy(count int) (map[uint32]backend.Load, []uint32) {
+// testLoads returns the loads of so many servers, of which every fifth has none.
+func testLoads(count int) (map[uint32]backend.Load, []uint32) {
 	random := rand.New(rand.NewPCG(1, uint64(count)))
 	loads := map[uint32]backend.Load{}
 	var keys []uint32
@@ -24,23 +24,23 @@
 	return loads, keys
 }
 
-func TestFewLoadsAreToldAsTheyAre(t *testing.T) {
+func TestFewLoadsAreNotCompressed(t *testing.T) {
 	c := qt.New(t)
-	loads, keys := busy(MostLoads)
-	told, rest := Concise(loads, func() []uint32 { return keys })
+	loads, keys := testLoads(MaxListedLoads)
+	told, rest := CompressLoads(loads, func() []uint32 { return keys })
 	c.Check(told, qt.DeepEquals, loads)
 	c.Check(rest, qt.Equals, backend.Load{})
 }
 
-// TestConciseLoadsMisleadLittle: of 3,000 servers the busiest are known as they are, and
+// TestCompressedLoadsAreAccurate: of 3,000 servers the busiest are known as they are, and
 // the others' number of requests to within a few.
-func TestConciseLoadsMisleadLittle(t *testing.T) {
+func TestCompressedLoadsAreAccurate(t *testing.T) {
 	c := qt.New(t)
-	loads, keys := busy(3000)
-	told, rest := Concise(loads, func() []uint32 { return keys })
-	c.Check(len(told) <= MostLoads, qt.IsTrue)
+	loads, keys := testLoads(3000)
+	told, rest := CompressLoads(loads, func() []uint32 { return keys })
+	c.Check(len(told) <= MaxListedLoads, qt.IsTrue)
 	total, after := 0, 0
-	Complete(told, rest, keys)
+	ExpandLoads(told, rest, keys)
 	most := backend.Load{}
 	for _, key := range keys {
 		total += loads[key].Running
@@ -51,18 +51,18 @@
 	c.Check(most.PendingTokens < 10_000, qt.IsTrue, qt.Commentf("one with %d tokens more than told", most.PendingTokens))
 }
 
-func TestCompleteLeavesWholeListsAlone(t *testing.T) {
+func TestExpandLoadsWithoutMean(t *testing.T) {
 	c := qt.New(t)
 	told := map[uint32]backend.Load{1: {Running: 2}}
-	Complete(told, backend.Load{}, []uint32{1, 2})
+	ExpandLoads(told, backend.Load{}, []uint32{1, 2})
 	c.Check(told, qt.HasLen, 1)
 }
 
-// BenchmarkConcise states what a lead pays twice a round: 1.4 ms of a core for 3,000
+// BenchmarkCompressLoads states what a lead pays twice a round: 1.4 ms of a core for 3,000
 // servers, 2.9 ms when each comparison looked its servers up.
-func BenchmarkConcise(b *testing.B) {
-	loads, keys := busy(3000)
+func BenchmarkCompressLoads(b *testing.B) {
+	loads, keys := testLoads(3000)
 	for b.Loop() {
-		Concise(loads, func() []uint32 { return keys })
+		CompressLoads(loads, func() []uint32 { return keys })
 	}
 }
--- a/internal/rollup/flow.go
+++ b/internal/rollup/flow.go
@@ -3,51 +3,51 @@
 import "time"
 
 const (
-	// flowWeight is the weight of a new observation in a rate: some seconds of
+	// rateWeight is the weight of a new observation in a rate: some seconds of
 	// reports, so that a burst counts soon.
-	flowWeight = 0.3
-	// longestGap bounds the time that is filled in: by then silence means that
+	rateWeight = 0.3
+	// maxGap bounds the time that is filled in: by then silence means that
 	// nothing is spent.
-	longestGap = 2 * time.Second
+	maxGap = 2 * time.Second
 )
 
-// Flow is how fast something is spent, by workspace. It fills in what was spent
+// SpendRate is how fast something is spent, by workspace. It fills in what was spent
 // while nobody told of it: between the last report of one relay and the first of
 // the next.
-type Flow struct {
-	rate map[string]float64
-	at   time.Time
+type SpendRate struct {
+	tokensPerSecond map[string]float64
+	lastReport      time.Time
 }
 
-// Saw takes over what two reports in a row of the same process told.
-func (f *Flow) Saw(before, after map[string]float64, now time.Time) {
-	elapsed := now.Sub(f.at).Seconds()
-	known := !f.at.IsZero()
-	f.at = now
+// Observe takes over what two reports in a row of the same process told.
+func (f *SpendRate) Observe(before, after map[string]float64, now time.Time) {
+	elapsed := now.Sub(f.lastReport).Seconds()
+	known := !f.lastReport.IsZero()
+	f.lastReport = now
 	if !known || elapsed <= 0 {
 		return
 	}
-	if f.rate == nil {
-		f.rate = map[string]float64{}
+	if f.tokensPerSecond == nil {
+		f.tokensPerSecond = map[string]float64{}
 	}
 	for workspace, tokens := range after {
 		seen := max(0, tokens-before[workspace]) / elapsed
-		f.rate[workspace] += flowWeight * (seen - f.rate[workspace])
+		f.tokensPerSecond[workspace] += rateWeight * (seen - f.tokensPerSecond[workspace])
 	}
 }
 
-// Missed returns what is taken to have been spent since the last report, and
+// FillGap returns what is taken to have been spent since the last report, and
 // counts from now on.
-func (f *Flow) Missed(now time.Time) map[string]float64 {
+func (f *SpendRate) FillGap(now time.Time) map[string]float64 {
 	missed := map[string]float64{}
-	if f.at.IsZero() {
-		f.at = now
+	if f.lastReport.IsZero() {
+		f.lastReport = now
 		return missed
 	}
-	gap := min(longestGap, now.Sub(f.at)).Seconds()
-	for workspace, rate := range f.rate {
+	gap := min(maxGap, now.Sub(f.lastReport)).Seconds()
+	for workspace, rate := range f.tokensPerSecond {
 		missed[workspace] = rate * gap
 	}
-	f.at = now
+	f.lastReport = now
 	return missed
 }
--- a/internal/rollup/rollup.go
+++ b/internal/rollup/rollup.go
@@ -18,9 +18,9 @@
 // state: three reports and the delay of a slow link.
 const FreshFor = 1500 * time.Millisecond
 
-// listenFor is how long a lead of another zone is listened to after its last summary
+// leadTimeout is how long a lead of another zone is listened to after its last summary
 // before another one is: two reports of a large deployment and a margin.
-const listenFor = time.Second
+const leadTimeout = time.Second
 
 // Counts are what a daemon, a zone or the deployment has used.
 type Counts struct {
@@ -40,12 +40,12 @@
 
 // Reach is which daemons are heard.
 type Reach struct {
-	Heard, Known int
+	Reachable, Known int
 	// Fence is the fencing number of one that holds the lease, or zero.
 	Fence int64
-	// Behind is how long ago the zone was heard that has been silent for longest among
+	// MaxAge is how long ago the zone was heard that has been silent for longest among
 	// those that count as heard.
-	Behind time.Duration
+	MaxAge time.Duration
 }
 
 // process is one start of one daemon, or one relay's account of a zone.
@@ -54,27 +54,27 @@
 	incarnation uint64
 }
 
-// account is what a process has told last.
-type account struct {
+// latestReport is what a process has told last.
+type latestReport struct {
 	process
-	counts   Counts
-	sequence uint64
-	at       time.Time
+	counts     Counts
+	sequence   uint64
+	receivedAt time.Time
 }
 
-// zone is what another zone's lead has told last.
-type zone struct {
-	account
-	reach Reach
-	flow  Flow
+// zoneState is what another zone's lead has told last.
+type zoneState struct {
+	latestReport
+	reach     Reach
+	spendRate SpendRate
 }
 
-// Sums keeps the sums. It may be used by several goroutines.
-type Sums struct {
+// Aggregator keeps the sums. It may be used by several goroutines.
+type Aggregator struct {
 	mu      sync.Mutex
 	own     Counts
-	members map[string]*account
-	zones   map[string]*zone
+	members map[string]*latestReport
+	zones   map[string]*zoneState
 	// zoneTotal and allTotal add up what was spent and refused since this process
 	// started, so that they only grow whatever process or relay comes or goes.
 	zoneTotal totals
@@ -88,22 +88,22 @@
 	return totals{spent: map[string]float64{}, refused: map[string]float64{}}
 }
 
-// grow adds what was spent and refused between two accounts of a process.
-func (t totals) grow(before, after Counts) {
-	addGrowth(t.spent, before.Spent, after.Spent)
-	addGrowth(t.refused, before.Refused, after.Refused)
+// addIncrease adds what was spent and refused between two accounts of a process.
+func (t totals) addIncrease(before, after Counts) {
+	addDifference(t.spent, before.Spent, after.Spent)
+	addDifference(t.refused, before.Refused, after.Refused)
 }
 
 // New returns empty sums.
-func New() *Sums {
-	return &Sums{members: map[string]*account{}, zones: map[string]*zone{}, zoneTotal: newTotals(), allTotal: newTotals()}
+func New() *Aggregator {
+	return &Aggregator{members: map[string]*latestReport{}, zones: map[string]*zoneState{}, zoneTotal: newTotals(), allTotal: newTotals()}
 }
 
-// TakeOwn takes over what this daemon itself has used.
-func (s *Sums) TakeOwn(counts Counts) {
+// SetOwn takes over what this daemon itself has used.
+func (s *Aggregator) SetOwn(counts Counts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.grow(s.own, counts, true)
+	s.addIncrease(s.own, counts, true)
 	s.own = counts
 }
 
@@ -112,25 +112,25 @@
 	VM          string
 	Incarnation uint64
 	Sequence    uint64
-	// Started is set for a process that has just started: all that it has spent
+	// JustStarted is set for a process that has just started: all that it has spent
 	// is new.
-	Started bool
-	Counts  Counts
+	JustStarted bool
+	Counts      Counts
 }
 
-// TakeMember takes over a report.
-func (s *Sums) TakeMember(r Report, now time.Time) {
+// AddReport takes over a report.
+func (s *Aggregator) AddReport(r Report, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := process{r.VM, r.Incarnation}
 	last := s.members[r.VM]
 	switch {
 	case last != nil && last.process == key:
-		s.grow(last.counts, r.Counts, true)
-	case r.Started:
-		s.grow(Counts{}, r.Counts, true)
+		s.addIncrease(last.counts, r.Counts, true)
+	case r.JustStarted:
+		s.addIncrease(Counts{}, r.Counts, true)
 	}
-	s.members[r.VM] = &account{process: key, counts: r.Counts, sequence: r.Sequence, at: now}
+	s.members[r.VM] = &latestReport{process: key, counts: r.Counts, sequence: r.Sequence, receivedAt: now}
 }
 
 // Summary is what the lead of another zone tells.
@@ -138,58 +138,58 @@
 	Zone        string
 	VM          string
 	Incarnation uint64
-	// Started is set for a process that has just started.
-	Started bool
-	Counts  Counts
-	Reach   Reach
+	// JustStarted is set for a process that has just started.
+	JustStarted bool
+	Counts      Counts
+	Reach       Reach
 }
 
-// TakeZone takes over a summary. One lead of a zone is listened to until it falls
+// AddSummary takes over a summary. One lead of a zone is listened to until it falls
 // silent or its process is followed by another one. What a new lead has counted
 // before cannot be told from what was known; the rate fills in what was spent
 // between.
-func (s *Sums) TakeZone(y Summary, now time.Time) {
+func (s *Aggregator) AddSummary(y Summary, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := process{y.VM, y.Incarnation}
 	last := s.zones[y.Zone]
-	if last != nil && last.vm != key.vm && now.Sub(last.at) < listenFor {
+	if last != nil && last.vm != key.vm && now.Sub(last.receivedAt) < leadTimeout {
 		return
 	}
-	next := &zone{account: account{process: key, counts: y.Counts, at: now}, reach: y.Reach}
+	next := &zoneState{latestReport: latestReport{process: key, counts: y.Counts, receivedAt: now}, reach: y.Reach}
 	switch {
 	case last == nil:
-		next.flow.Missed(now)
+		next.spendRate.FillGap(now)
 	case last.process == key:
-		s.grow(last.counts, y.Counts, false)
-		next.flow = last.flow
-		next.flow.Saw(last.counts.Spent, y.Counts.Spent, now)
-	case y.Started:
-		s.grow(Counts{}, y.Counts, false)
-		next.flow = last.flow
-		next.flow.Missed(now)
+		s.addIncrease(last.counts, y.Counts, false)
+		next.spendRate = last.spendRate
+		next.spendRate.Observe(last.counts.Spent, y.Counts.Spent, now)
+	case y.JustStarted:
+		s.addIncrease(Counts{}, y.Counts, false)
+		next.spendRate = last.spendRate
+		next.spendRate.FillGap(now)
 	default:
-		next.flow = last.flow
-		s.grow(Counts{}, Counts{Spent: next.flow.Missed(now)}, false)
+		next.spendRate = last.spendRate
+		s.addIncrease(Counts{}, Counts{Spent: next.spendRate.FillGap(now)}, false)
 	}
 	s.zones[y.Zone] = next
 }
 
-func (s *Sums) grow(before, after Counts, ownZone bool) {
-	s.allTotal.grow(before, after)
+func (s *Aggregator) addIncrease(before, after Counts, ownZone bool) {
+	s.allTotal.addIncrease(before, after)
 	if ownZone {
-		s.zoneTotal.grow(before, after)
+		s.zoneTotal.addIncrease(before, after)
 	}
 }
 
-func addGrowth(into, before, after map[string]float64) {
+func addDifference(into, before, after map[string]float64) {
 	for workspace, tokens := range after {
 		into[workspace] += tokens - before[workspace]
 	}
 }
 
-// Taken returns the sequence of the last report of a daemon that the sums hold.
-func (s *Sums) Taken(vm string) uint64 {
+// LastSequence returns the sequence of the last report of a daemon that the sums hold.
+func (s *Aggregator) LastSequence(vm string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if m := s.members[vm]; m != nil {
@@ -199,49 +199,49 @@
 }
 
 // Zone returns the sums over this daemon's zone.
-func (s *Sums) Zone(now time.Time) Counts {
+func (s *Aggregator) Zone(now time.Time) Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sum := s.presentOfZone(now)
+	sum := s.zoneCurrent(now)
 	sum.Spent, sum.Refused = maps.Clone(s.zoneTotal.spent), maps.Clone(s.zoneTotal.refused)
 	return sum
 }
 
 // All returns the sums over all zones.
-func (s *Sums) All(now time.Time) Counts {
+func (s *Aggregator) All(now time.Time) Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sum := s.presentOfZone(now)
+	sum := s.zoneCurrent(now)
 	sum.Spent, sum.Refused = maps.Clone(s.allTotal.spent), maps.Clone(s.allTotal.refused)
 	for _, z := range s.zones {
 		if z.fresh(now) {
-			sum.addPresent(z.counts)
+			sum.addCurrent(z.counts)
 		}
 	}
 	return sum
 }
 
 // Others returns the loads and the demand of all daemons but this one.
-func (s *Sums) Others(now time.Time) Counts {
+func (s *Aggregator) Others(now time.Time) Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sum := NewCounts()
 	for _, m := range s.members {
 		if m.fresh(now) {
-			sum.addPresent(m.counts)
+			sum.addCurrent(m.counts)
 		}
 	}
 	for _, z := range s.zones {
 		if z.fresh(now) {
-			sum.addPresent(z.counts)
+			sum.addCurrent(z.counts)
 		}
 	}
 	return sum
 }
 
-// AllSpent returns what was spent and refused over all zones since this process started,
+// SpentByOthers returns what was spent and refused over all zones since this process started,
 // by others than this daemon.
-func (s *Sums) AllSpent() (spent, refused map[string]float64) {
+func (s *Aggregator) SpentByOthers() (spent, refused map[string]float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	spent, refused = maps.Clone(s.allTotal.spent), maps.Clone(s.allTotal.refused)
@@ -259,7 +259,7 @@
 
 // Reach returns which daemons of other zones are heard through their leads, and
 // whether every zone is heard that was.
-func (s *Sums) Reach(now time.Time) (sum Reach, complete bool) {
+func (s *Aggregator) Reach(now time.Time) (sum Reach, complete bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	complete = true
@@ -269,8 +269,8 @@
 			complete = false
 			continue
 		}
-		sum.Heard += z.reach.Heard
-		sum.Behind = max(sum.Behind, now.Sub(z.at))
+		sum.Reachable += z.reach.Reachable
+		sum.MaxAge = max(sum.MaxAge, now.Sub(z.receivedAt))
 		sum.Fence = max(sum.Fence, z.reach.Fence)
 	}
 	return sum, complete
@@ -280,14 +280,14 @@
 const forgetAfter = 30 * time.Second
 
 // Sweep forgets what has been silent for long.
-func (s *Sums) Sweep(now time.Time) {
+func (s *Aggregator) Sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.members, func(_ string, m *account) bool { return now.Sub(m.at) >= forgetAfter })
-	maps.DeleteFunc(s.zones, func(_ string, z *zone) bool { return now.Sub(z.at) >= forgetAfter })
+	maps.DeleteFunc(s.members, func(_ string, m *latestReport) bool { return now.Sub(m.receivedAt) >= forgetAfter })
+	maps.DeleteFunc(s.zones, func(_ string, z *zoneState) bool { return now.Sub(z.receivedAt) >= forgetAfter })
 }
 
-func (a *account) fresh(now time.Time) bool { return now.Sub(a.at) < FreshFor }
+func (a *latestReport) fresh(now time.Time) bool { return now.Sub(a.receivedAt) < FreshFor }
 
 // NewCounts returns counts of nothing.
 func NewCounts() Counts {
@@ -297,20 +297,20 @@
 	}
 }
 
-// presentOfZone adds up the loads and the demand of the zone; the caller holds the
+// zoneCurrent adds up the loads and the demand of the zone; the caller holds the
 // lock.
-func (s *Sums) presentOfZone(now time.Time) Counts {
+func (s *Aggregator) zoneCurrent(now time.Time) Counts {
 	sum := NewCounts()
-	sum.addPresent(s.own)
+	sum.addCurrent(s.own)
 	for _, m := range s.members {
 		if m.fresh(now) {
-			sum.addPresent(m.counts)
+			sum.addCurrent(m.counts)
 		}
 	}
 	return sum
 }
 
-func (c *Counts) addPresent(more Counts) {
+func (c *Counts) addCurrent(more Counts) {
 	for key, load := range more.Loads {
 		sum := c.Loads[key]
 		sum.Running += load.Running
--- a/internal/rollup/rollup_test.go
+++ b/internal/rollup/rollup_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-func spent(tokens float64) Counts {
+func testCounts(tokens float64) Counts {
 	return Counts{
 		Spent: map[string]float64{"w": tokens}, Loads: map[uint32]backend.Load{7: {Running: 1, PendingTokens: 100}},
 		Demand: map[string]demand.Load{"s": {Reading: 1, Places: 2, Memory: 3}},
@@ -22,29 +22,29 @@
 func TestSumsOverZones(t *testing.T) {
 	c := qt.New(t)
 	s := New()
-	s.TakeOwn(spent(5))
-	s.TakeMember(Report{VM: "a", Incarnation: 1, Sequence: 3, Started: true, Counts: spent(20)}, start)
-	s.TakeZone(Summary{Zone: "y", VM: "p", Counts: spent(1000), Reach: Reach{Heard: 4, Known: 5, Fence: 9}}, start)
-	s.TakeZone(Summary{Zone: "y", VM: "p", Counts: spent(1300), Reach: Reach{Heard: 4, Known: 5, Fence: 9}}, start)
+	s.SetOwn(testCounts(5))
+	s.AddReport(Report{VM: "a", Incarnation: 1, Sequence: 3, JustStarted: true, Counts: testCounts(20)}, start)
+	s.AddSummary(Summary{Zone: "y", VM: "p", Counts: testCounts(1000), Reach: Reach{Reachable: 4, Known: 5, Fence: 9}}, start)
+	s.AddSummary(Summary{Zone: "y", VM: "p", Counts: testCounts(1300), Reach: Reach{Reachable: 4, Known: 5, Fence: 9}}, start)
 	all := s.All(start)
 	c.Check(all.Spent["w"], qt.Equals, 325.0, qt.Commentf("what another zone had spent before is not known to be new"))
 	c.Check(all.Loads[7], qt.Equals, backend.Load{Running: 3, PendingTokens: 300})
 	c.Check(all.Demand["s"], qt.Equals, demand.Load{Reading: 3, Places: 6, Memory: 9})
 	c.Check(s.Zone(start).Spent["w"], qt.Equals, 25.0)
-	spentByOthers, _ := s.AllSpent()
+	spentByOthers, _ := s.SpentByOthers()
 	c.Check(spentByOthers["w"], qt.Equals, 320.0)
-	c.Check(s.Taken("a"), qt.Equals, uint64(3))
-	c.Check(s.Taken("b"), qt.Equals, uint64(0))
+	c.Check(s.LastSequence("a"), qt.Equals, uint64(3))
+	c.Check(s.LastSequence("b"), qt.Equals, uint64(0))
 	reach, complete := s.Reach(start)
-	c.Check(reach, qt.Equals, Reach{Heard: 4, Known: 5, Fence: 9})
+	c.Check(reach, qt.Equals, Reach{Reachable: 4, Known: 5, Fence: 9})
 	c.Check(complete, qt.IsTrue)
 }
 
-func TestSilenceEndsLoadsButNotWhatWasSpent(t *testing.T) {
+func TestSilentReportersKeepSpentTokens(t *testing.T) {
 	c := qt.New(t)
 	s := New()
-	s.TakeMember(Report{VM: "a", Incarnation: 1, Started: true, Counts: spent(20)}, start)
-	s.TakeZone(Summary{Zone: "y", VM: "p", Counts: spent(0)}, start)
+	s.AddReport(Report{VM: "a", Incarnation: 1, JustStarted: true, Counts: testCounts(20)}, start)
+	s.AddSummary(Summary{Zone: "y", VM: "p", Counts: testCounts(0)}, start)
 	later := start.Add(FreshFor)
 	c.Check(s.All(later).Loads, qt.HasLen, 0)
 	c.Check(s.All(later).Spent["w"], qt.Equals, 20.0)
@@ -55,58 +55,58 @@
 	c.Check(complete, qt.IsTrue, qt.Commentf("a zone that is gone for good"))
 }
 
-func TestRestartedMemberAddsWhatItSpends(t *testing.T) {
+func TestRestartedMemberAddsToTotal(t *testing.T) {
 	c := qt.New(t)
 	s := New()
-	s.TakeMember(Report{VM: "a", Incarnation: 1, Started: true, Counts: spent(20)}, start)
-	s.TakeMember(Report{VM: "a", Incarnation: 2, Started: true, Counts: spent(3)}, start)
+	s.AddReport(Report{VM: "a", Incarnation: 1, JustStarted: true, Counts: testCounts(20)}, start)
+	s.AddReport(Report{VM: "a", Incarnation: 2, JustStarted: true, Counts: testCounts(3)}, start)
 	c.Check(s.All(start).Spent["w"], qt.Equals, 23.0)
-	s.TakeMember(Report{VM: "b", Incarnation: 1, Counts: spent(500)}, start)
-	s.TakeMember(Report{VM: "b", Incarnation: 1, Counts: spent(501)}, start)
+	s.AddReport(Report{VM: "b", Incarnation: 1, Counts: testCounts(500)}, start)
+	s.AddReport(Report{VM: "b", Incarnation: 1, Counts: testCounts(501)}, start)
 	c.Check(s.All(start).Spent["w"], qt.Equals, 24.0, qt.Commentf("b has been running for long"))
 }
 
-func TestOneLeadOfAZoneIsListenedTo(t *testing.T) {
+func TestSecondLeadOfZoneIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	s := New()
-	s.TakeZone(Summary{Zone: "y", VM: "p", Counts: spent(0)}, start)
-	s.TakeZone(Summary{Zone: "y", VM: "q", Counts: spent(900)}, start)
+	s.AddSummary(Summary{Zone: "y", VM: "p", Counts: testCounts(0)}, start)
+	s.AddSummary(Summary{Zone: "y", VM: "q", Counts: testCounts(900)}, start)
 	c.Check(s.All(start).Spent["w"], qt.Equals, 0.0)
 	later := start.Add(FreshFor)
-	s.TakeZone(Summary{Zone: "y", VM: "q", Counts: spent(900)}, later)
-	s.TakeZone(Summary{Zone: "y", VM: "q", Counts: spent(950)}, later)
+	s.AddSummary(Summary{Zone: "y", VM: "q", Counts: testCounts(900)}, later)
+	s.AddSummary(Summary{Zone: "y", VM: "q", Counts: testCounts(950)}, later)
 	c.Check(s.All(later).Spent["w"], qt.Equals, 50.0)
 }
 
-// TestChangeOfLeadLosesLittle: what a zone spends while nobody tells of it is
+// TestLeadChangeFillsGap: what a zone spends while nobody tells of it is
 // filled in, and a process that has just started is counted whole.
-func TestChangeOfLeadLosesLittle(t *testing.T) {
+func TestLeadChangeFillsGap(t *testing.T) {
 	c := qt.New(t)
 	s := New()
 	tokens, now := 0.0, start
 	for range 20 {
-		s.TakeZone(Summary{Zone: "y", VM: "p", Counts: spent(tokens)}, now)
+		s.AddSummary(Summary{Zone: "y", VM: "p", Counts: testCounts(tokens)}, now)
 		tokens, now = tokens+100, now.Add(100*time.Millisecond)
 	}
 	before := s.All(now).Spent["w"]
 	now = now.Add(FreshFor)
-	s.TakeZone(Summary{Zone: "y", VM: "q", Counts: spent(7)}, now)
+	s.AddSummary(Summary{Zone: "y", VM: "q", Counts: testCounts(7)}, now)
 	filled := s.All(now).Spent["w"] - before
 	c.Check(filled > 1200 && filled < 1800, qt.IsTrue, qt.Commentf("%v of 1,600", filled))
-	s.TakeZone(Summary{Zone: "y", VM: "q", Incarnation: 1, Started: true, Counts: spent(30)}, now)
+	s.AddSummary(Summary{Zone: "y", VM: "q", Incarnation: 1, JustStarted: true, Counts: testCounts(30)}, now)
 	c.Check(s.All(now).Spent["w"]-before-filled, qt.Equals, 30.0)
 }
 
 func TestRefusedTokensAddUp(t *testing.T) {
 	c := qt.New(t)
 	s := New()
-	s.TakeOwn(Counts{Refused: map[string]float64{"w": 1}})
-	s.TakeMember(Report{VM: "a", Incarnation: 1, Started: true, Counts: Counts{Refused: map[string]float64{"w": 10}}}, start)
+	s.SetOwn(Counts{Refused: map[string]float64{"w": 1}})
+	s.AddReport(Report{VM: "a", Incarnation: 1, JustStarted: true, Counts: Counts{Refused: map[string]float64{"w": 10}}}, start)
 	for _, tokens := range []float64{1000, 1100} {
-		s.TakeZone(Summary{Zone: "y", VM: "p", Counts: Counts{Refused: map[string]float64{"w": tokens}}}, start)
+		s.AddSummary(Summary{Zone: "y", VM: "p", Counts: Counts{Refused: map[string]float64{"w": tokens}}}, start)
 	}
 	c.Check(s.Zone(start).Refused["w"], qt.Equals, 11.0)
 	c.Check(s.All(start).Refused["w"], qt.Equals, 111.0)
-	_, refused := s.AllSpent()
+	_, refused := s.SpentByOthers()
 	c.Check(refused["w"], qt.Equals, 110.0)
 }
--- a/internal/router/allowances.go
+++ b/internal/router/allowances.go
@@ -14,7 +14,7 @@
 
 // serverTolerance is how far above its limit a backend server may get: in 4 s half of the limit
 // and 5 requests, of which 2 are kept in reserve.
-var serverTolerance = allowance.Tolerance{Window: 4 * time.Second, Over: 0.5, Tokens: 3}
+var serverTolerance = allowance.Tolerance{Window: 4 * time.Second, Fraction: 0.5, Tokens: 3}
 
 // allowances are the limiters by a clock that goes on while the VM is suspended: that of the
 // workspaces, and that of the backend servers that name a limit. Whoever uses them
@@ -47,11 +47,11 @@
 	now := steady.Now()
 	stood := now.Sub(a.aliveAt)
 	a.aliveAt = now
-	if stood < allowance.MissedFrom {
+	if stood < allowance.StallThreshold {
 		return now
 	}
-	a.limiter.StoodStill(now)
-	a.servers.StoodStill(now)
+	a.limiter.ResumeAfterStall(now)
+	a.servers.ResumeAfterStall(now)
 	a.logger.Warn("process stood still, others are asked what was used", "for_ms", stood.Milliseconds())
 	go a.behind()
 	return now
@@ -64,7 +64,7 @@
 
 // Repeat implements forward.Limiter.
 func (a *allowances) Repeat(workspace string, tokens float64) allowance.Verdict {
-	return a.limiter.Repeat(workspace, tokens, a.now())
+	return a.limiter.AdmitRetry(workspace, tokens, a.now())
 }
 
 // Refund implements forward.Limiter.
@@ -76,41 +76,41 @@
 // for in each round of reports, which shows that the process runs.
 func (a *allowances) own() allowance.Counters {
 	a.now()
-	own, servers := a.limiter.Own(), a.servers.Own()
+	own, servers := a.limiter.OwnCounters(), a.servers.OwnCounters()
 	maps.Copy(own.Spent, servers.Spent)
 	maps.Copy(own.Refused, servers.Refused)
 	return own
 }
 
-func (a *allowances) open(o allowance.Opening)               { a.limiter.Open(o, a.now()) }
-func (a *allowances) counted() time.Duration                 { return a.limiter.Counted(a.now()) }
-func (a *allowances) warmup() bool                           { return a.limiter.Warmup(a.now()) }
-func (a *allowances) uses() (map[string]allowance.Use, bool) { return a.limiter.Uses(a.now()) }
-func (a *allowances) asked() map[string]float64              { return a.limiter.Asked(a.now()) }
+func (a *allowances) open(o allowance.Snapshot)                { a.limiter.Restore(o, a.now()) }
+func (a *allowances) counted() time.Duration                   { return a.limiter.CountedFor(a.now()) }
+func (a *allowances) warmup() bool                             { return a.limiter.Warmup(a.now()) }
+func (a *allowances) uses() (map[string]allowance.Usage, bool) { return a.limiter.Usage(a.now()) }
+func (a *allowances) asked() map[string]float64                { return a.limiter.Demand(a.now()) }
 
 // applyCatalog takes over the allowances of a configuration, and logs those that it changes.
 func (a *allowances) applyCatalog(c *catalog.Catalog) {
 	for _, change := range a.limiter.ApplyCatalog(c, a.now()) {
 		a.logger.Info("allowance changed", "workspace", change.Workspace, "config_version", c.Version,
-			"allowance_limit_before", int64(change.Before), "allowance_limit", int64(change.Limit), "allowance_used", int64(change.Used))
+			"allowance_limit_before", int64(change.PreviousLimit), "allowance_limit", int64(change.Limit), "allowance_used", int64(change.Used))
 	}
 }
 
 // setReach takes over how many of the known daemons are heard.
 func (a *allowances) setReach(heard, known int) {
 	now := a.now()
-	a.limiter.SetReach(heard, known, now)
-	a.servers.SetReach(heard, known, now)
+	a.limiter.SetReachable(heard, known, now)
+	a.servers.SetReachable(heard, known, now)
 }
 
 // hear takes over a report. Each limiter knows its own accounts in it.
 func (a *allowances) hear(r allowance.Report) {
 	now := a.now()
-	a.limiter.Heard(r, now)
-	a.servers.Heard(r, now)
+	a.limiter.ApplyReport(r, now)
+	a.servers.ApplyReport(r, now)
 }
 
 // take takes over what a daemon tells that has counted for a time.
-func (a *allowances) take(uses map[string]allowance.Use, asked map[string]float64, counted time.Duration) {
-	a.limiter.TakeUses(uses, asked, counted, a.now())
+func (a *allowances) take(uses map[string]allowance.Usage, asked map[string]float64, counted time.Duration) {
+	a.limiter.AdoptFromPeer(uses, asked, counted, a.now())
 }
--- a/internal/router/allowances_test.go
+++ b/internal/router/allowances_test.go
@@ -27,14 +27,14 @@
 				a := newAllowances(allowance.Tolerance{}, slog.New(slog.DiscardHandler), func() { asked++ })
 				a.applyCatalog((&catalog.Catalog{Workspaces: []catalog.Workspace{{Name: "w", TokensPerSecond: 1000, Burst: 1000}}}).Build())
 				for range 100 {
-					time.Sleep(allowance.MissedFrom / 3)
+					time.Sleep(allowance.StallThreshold / 3)
 					a.own()
 				}
 				synctest.Wait()
 				c.Check(asked, qt.Equals, 0)
-				c.Check(a.counted() >= allowance.MissedFrom, qt.IsTrue)
+				c.Check(a.counted() >= allowance.StallThreshold, qt.IsTrue)
 
-				time.Sleep(allowance.MissedFrom)
+				time.Sleep(allowance.StallThreshold)
 				first(a)
 				synctest.Wait()
 				c.Check(asked, qt.Equals, 1)
--- a/internal/router/encode.go
+++ b/internal/router/encode.go
@@ -15,11 +15,11 @@
 )
 
 func encodeReach(r rollup.Reach) *gossippb.Reach {
-	return &gossippb.Reach{Heard: int32(r.Heard), Known: int32(r.Known), Fence: r.Fence, BehindMs: r.Behind.Milliseconds()}
+	return &gossippb.Reach{Heard: int32(r.Reachable), Known: int32(r.Known), Fence: r.Fence, BehindMs: r.MaxAge.Milliseconds()}
 }
 
 func decodeReach(r *gossippb.Reach) rollup.Reach {
-	return rollup.Reach{Heard: int(r.GetHeard()), Known: int(r.GetKnown()), Fence: r.GetFence(), Behind: time.Duration(r.GetBehindMs()) * time.Millisecond}
+	return rollup.Reach{Reachable: int(r.GetHeard()), Known: int(r.GetKnown()), Fence: r.GetFence(), MaxAge: time.Duration(r.GetBehindMs()) * time.Millisecond}
 }
 
 func encodeCounts(c rollup.Counts) *gossippb.Counts {
@@ -187,7 +187,7 @@
 }
 
 // encodeUses encodes what the workspaces have used, and how fast they ask.
-func encodeUses(uses map[string]allowance.Use, asked map[string]float64) *gossippb.Uses {
+func encodeUses(uses map[string]allowance.Usage, asked map[string]float64) *gossippb.Uses {
 	told := &gossippb.Uses{}
 	for workspace, use := range uses {
 		told.Use = append(told.Use, &gossippb.Use{Workspace: workspace, Spans: use[:], Asked: asked[workspace]})
@@ -201,10 +201,10 @@
 }
 
 // decodeUses decodes what encodeUses made.
-func decodeUses(told *gossippb.Uses) (uses map[string]allowance.Use, asked map[string]float64) {
-	uses, asked = map[string]allowance.Use{}, map[string]float64{}
+func decodeUses(told *gossippb.Uses) (uses map[string]allowance.Usage, asked map[string]float64) {
+	uses, asked = map[string]allowance.Usage{}, map[string]float64{}
 	for _, item := range told.GetUse() {
-		var use allowance.Use
+		var use allowance.Usage
 		copy(use[:], item.GetSpans())
 		uses[item.GetWorkspace()] = use
 		asked[item.GetWorkspace()] = max(0, item.GetAsked())
--- a/internal/router/keptuses.go
+++ b/internal/router/keptuses.go
@@ -32,7 +32,7 @@
 
 // keptUses is what a lead keeps.
 type keptUses struct {
-	Uses map[string]allowance.Use `json:"uses"`
+	Uses map[string]allowance.Usage `json:"uses"`
 	// Asked is how fast all daemons are asked, by workspace, in tokens a second.
 	Asked map[string]float64 `json:"asked"`
 	// Warmup is set when the lead had just started to count them.
@@ -110,7 +110,7 @@
 	for _, one := range kept {
 		newest = max(newest, one.WrittenMs)
 	}
-	merged := keptUses{Uses: map[string]allowance.Use{}, WrittenMs: newest}
+	merged := keptUses{Uses: map[string]allowance.Usage{}, WrittenMs: newest}
 	for _, one := range kept {
 		if newest-one.WrittenMs > keptTogether.Milliseconds() {
 			continue
--- a/internal/router/keptuses_test.go
+++ b/internal/router/keptuses_test.go
@@ -13,11 +13,11 @@
 func TestMergeUsesTakesTheNewest(t *testing.T) {
 	c := qt.New(t)
 	merged := mergeUses([]keptUses{
-		{WrittenMs: 10_000, Uses: map[string]allowance.Use{"a": {100}, "b": {0, 7}}},
-		{WrittenMs: 9_400, Uses: map[string]allowance.Use{"a": {0, 300}, "c": {5}}},
-		{WrittenMs: 2_000, Uses: map[string]allowance.Use{"a": {900}, "d": {1}}},
+		{WrittenMs: 10_000, Uses: map[string]allowance.Usage{"a": {100}, "b": {0, 7}}},
+		{WrittenMs: 9_400, Uses: map[string]allowance.Usage{"a": {0, 300}, "c": {5}}},
+		{WrittenMs: 2_000, Uses: map[string]allowance.Usage{"a": {900}, "d": {1}}},
 	})
-	c.Check(merged, qt.DeepEquals, keptUses{WrittenMs: 10_000, Uses: map[string]allowance.Use{"a": {0, 300}, "b": {0, 7}, "c": {5}}})
+	c.Check(merged, qt.DeepEquals, keptUses{WrittenMs: 10_000, Uses: map[string]allowance.Usage{"a": {0, 300}, "b": {0, 7}, "c": {5}}})
 	c.Check(mergeUses(nil).WrittenMs, qt.Equals, int64(0))
 	merged = mergeUses([]keptUses{{WrittenMs: 10_000}, {WrittenMs: 9_400, Warmup: true}})
 	c.Check(merged.Warmup, qt.IsTrue, qt.Commentf("one of the leads has just started"))
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -37,7 +37,7 @@
 	s.view.MergeEngineFigures(memory.EngineFigures)
 	s.limits.Recall(memory.FirstTryLimits)
 	// Counts only grow: where daemons that are still there know more, theirs stand.
-	s.ledger.HeardAll(memory.RequestWindows)
+	s.ledger.MergeAll(memory.RequestWindows)
 	opened := s.openAllowances(memory)
 	if memory.RollOuts != nil {
 		s.router.board.Restore(*memory.RollOuts, max(0, s.started.Sub(time.UnixMilli(memory.WrittenAtMs))), now)
@@ -55,12 +55,12 @@
 // openAllowances applies what the workspaces have used: what the record tells, or nothing at the first
 // start of all daemons. It returns false if neither is the case.
 func (s *state) openAllowances(memory lease.Snapshot) bool {
-	opening := allowance.Opening{Uses: memory.RecentUses, Asked: memory.DemandRates, Warmup: memory.Warmup, Age: max(0, s.started.Sub(time.UnixMilli(memory.WrittenAtMs)))}
+	opening := allowance.Snapshot{Usage: memory.RecentUses, Demand: memory.DemandRates, Warmup: memory.Warmup, Age: max(0, s.started.Sub(time.UnixMilli(memory.WrittenAtMs)))}
 	if memory.WrittenAtMs == 0 {
 		if !s.router.settings.Peers.Bootstrap {
 			return false
 		}
-		opening = allowance.Opening{}
+		opening = allowance.Snapshot{}
 	}
 	s.limiter.open(opening)
 	return true
--- a/internal/router/memory_test.go
+++ b/internal/router/memory_test.go
@@ -57,7 +57,7 @@
 func TestHolderThatKnowsNoUsesKeepsThoseRemembered(t *testing.T) {
 	c := qt.New(t)
 	s := testRouter(t).state
-	standing := lease.Snapshot{WrittenAtMs: 7, RecentUses: map[string]allowance.Use{"w": {1, 2, 3, 4}}}
+	standing := lease.Snapshot{WrittenAtMs: 7, RecentUses: map[string]allowance.Usage{"w": {1, 2, 3, 4}}}
 	next := s.remember(standing)
 	c.Check(next.RecentUses, qt.DeepEquals, standing.RecentUses)
 	c.Check(next.WrittenAtMs, qt.Equals, int64(7))
@@ -71,7 +71,7 @@
 	now := time.Now()
 	window := before.ledger.WindowAt(now)
 	for range 3 {
-		before.ledger.Began("w", now)
+		before.ledger.RequestStarted("w", now)
 	}
 	before.view.SetTraits(map[string]backend.Traits{"s": {CacheTokens: 1000}})
 	before.view.MergeEngineFigures(map[string]pace.EngineFigures{"s": {First: pace.Figures{Coefficients: []float64{0.5}, Seen: 100}}})
@@ -87,6 +87,6 @@
 	c.Assert(ok, qt.IsTrue)
 	c.Check(choice.Calibrated, qt.IsTrue)
 	// What is counted by others meanwhile is not added to it.
-	after.ledger.Began("w", now)
+	after.ledger.RequestStarted("w", now)
 	c.Check(after.ledger.Sum(window), qt.DeepEquals, usage.Counts{"w": 3})
 }
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -69,7 +69,7 @@
 	gauge(storeFailing, flag(failing))
 	gauge(leaseFence, float64(b.state.ownFence()))
 	reach, _ := b.state.reach(now)
-	gauge(daemonsSeen, float64(reach.Heard), "heard")
+	gauge(daemonsSeen, float64(reach.Reachable), "heard")
 	gauge(daemonsSeen, float64(reach.Known), "known")
 	gauge(heldBack, float64(b.state.quarantine.BlockedCount(now)))
 	plan := b.plan(now)
--- a/internal/router/reach.go
+++ b/internal/router/reach.go
@@ -8,7 +8,7 @@
 
 // zoneReach returns which daemons of this zone are heard, this one included.
 func (s *state) zoneReach(now time.Time) rollup.Reach {
-	reach := rollup.Reach{Heard: 1, Known: 1, Fence: s.ownFence()}
+	reach := rollup.Reach{Reachable: 1, Known: 1, Fence: s.ownFence()}
 	zone := s.router.settings.VM.Zone
 	for _, p := range s.router.members.Known(now) {
 		if p.Zone == zone {
@@ -17,7 +17,7 @@
 	}
 	for _, p := range s.router.members.Reachable(now) {
 		if p.Zone == zone {
-			reach.Heard++
+			reach.Reachable++
 			reach.Fence = max(reach.Fence, p.Fence)
 		}
 	}
@@ -30,15 +30,15 @@
 	if s.listens(now) != "" {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.lead.reach, s.lead.reach.Heard >= s.lead.reach.Known
+		return s.lead.reach, s.lead.reach.Reachable >= s.lead.reach.Known
 	}
 	sum := s.zoneReach(now)
 	far, complete := s.sums.Reach(now)
-	sum.Heard += far.Heard
+	sum.Reachable += far.Reachable
 	sum.Known = max(sum.Known+s.knownFar(now, far.Known), s.toldKnown(now))
 	sum.Fence = max(sum.Fence, far.Fence)
-	sum.Behind = far.Behind
-	return sum, complete && sum.Heard >= sum.Known
+	sum.MaxAge = far.MaxAge
+	return sum, complete && sum.Reachable >= sum.Known
 }
 
 // useReach takes over which daemons are heard where limits are shared by all. A daemon
@@ -49,7 +49,7 @@
 	if reach.Known <= 1 && !s.router.registered.Load() {
 		return
 	}
-	s.limiter.setReach(reach.Heard, reach.Known)
+	s.limiter.setReach(reach.Reachable, reach.Known)
 	s.router.budget.SetDaemons(reach.Known)
 }
 
--- a/internal/router/register.go
+++ b/internal/router/register.go
@@ -89,7 +89,7 @@
 		r.logger.Warn("no record of what the workspaces use: allowances count as used up for a window, unless a peer tells more")
 		return nil
 	}
-	r.state.limiter.open(allowance.Opening{Unrecorded: true, Age: max(0, r.state.started.Sub(begun))})
+	r.state.limiter.open(allowance.Snapshot{Unrecorded: true, Age: max(0, r.state.started.Sub(begun))})
 	return nil
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -124,7 +124,7 @@
 		pool:        upstream.NewPool(options.Network, dialTimeout),
 		members:     gossip.NewMembers(gossip.Identity{VM: s.VM.ID, Zone: s.VM.Zone, Address: s.Listen.Peers}, s.Peers.Seeds),
 		budget: retrybudget.New(retrybudget.Bounds{
-			Ratio: s.Bounds.RetryRatio, Extra: s.Bounds.RetryExtra, Window: s.Bounds.RetryWindow.Std(),
+			RetryRatio: s.Bounds.RetryRatio, ExtraRetries: s.Bounds.RetryExtra, Window: s.Bounds.RetryWindow.Std(),
 		}),
 	}
 	r.metrics.MustRegister(collectors.NewGoCollector(), beliefs{r})
--- a/internal/router/serverlimits.go
+++ b/internal/router/serverlimits.go
@@ -46,7 +46,7 @@
 func (l serverLimits) Lift(server uint32) { l.servers.SetRate(accountOf(server), 0, l.now()) }
 
 // Forget implements backend.Limiter.
-func (l serverLimits) Forget(server uint32) { l.servers.Drop(accountOf(server)) }
+func (l serverLimits) Forget(server uint32) { l.servers.Remove(accountOf(server)) }
 
 // Admit implements backend.Limiter.
 func (l serverLimits) Admit(server uint32) (admitted time.Time, retryAfter time.Duration, ok bool) {
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -33,7 +33,7 @@
 	configured chan struct{}
 
 	// sums are over what daemons report here.
-	sums *rollup.Sums
+	sums *rollup.Aggregator
 
 	mu sync.Mutex
 	// listing are the backend servers, as peers exchange them.
@@ -112,7 +112,7 @@
 }
 
 func toleranceOf(b config.RouterBounds) allowance.Tolerance {
-	return allowance.Tolerance{Window: b.QuotaWindow.Std(), Over: b.QuotaOver, Tokens: b.QuotaSlack}
+	return allowance.Tolerance{Window: b.QuotaWindow.Std(), Fraction: b.QuotaOver, Tokens: b.QuotaSlack}
 }
 
 // Catalog returns the configuration in force, or nil.
--- a/internal/router/talk.go
+++ b/internal/router/talk.go
@@ -75,7 +75,7 @@
 	now := time.Now()
 	used := s.limiter.own()
 	own := rollup.Counts{Spent: used.Spent, Refused: used.Refused, Loads: s.view.OwnLoads(), Demand: s.demand.Rates(now), Paces: s.view.EngineFigures(), Versions: s.router.board.LocalTallies()}
-	s.sums.TakeOwn(own)
+	s.sums.SetOwn(own)
 	s.mu.Lock()
 	s.sent[sequence] = own
 	delete(s.sent, sequence-sentKept)
@@ -94,7 +94,7 @@
 // encodeSums encodes sums over many daemons, with the loads in few words.
 func (s *state) encodeSums(sums rollup.Counts) *gossippb.Counts {
 	s.withoutOldLimits(sums, time.Now())
-	told, rest := rollup.Concise(sums.Loads, s.view.Keys)
+	told, rest := rollup.CompressLoads(sums.Loads, s.view.Keys)
 	sums.Loads = told
 	counts := encodeCounts(sums)
 	if rest != (backend.Load{}) {
@@ -114,7 +114,7 @@
 	sums := decodeCounts(counts)
 	if told := counts.GetRest(); told != nil {
 		rest := backend.Load{Running: int(told.GetRunning()), PendingTokens: int(told.GetPendingTokens())}
-		rollup.Complete(sums.Loads, rest, s.view.Keys())
+		rollup.ExpandLoads(sums.Loads, rest, s.view.Keys())
 	}
 	return sums
 }
@@ -134,7 +134,7 @@
 func (s *state) Windows() []*gossippb.Window { return encodeWindows(s.ledger.All(windowsTold)) }
 
 // IncludedSequence implements gossip.Source.
-func (s *state) IncludedSequence(vm string) uint64 { return s.sums.Taken(vm) }
+func (s *state) IncludedSequence(vm string) uint64 { return s.sums.LastSequence(vm) }
 
 // ZoneTotals implements gossip.Source.
 func (s *state) ZoneTotals(now time.Time) (*gossippb.Reach, *gossippb.Counts) {
@@ -183,20 +183,20 @@
 // heardMember takes over the report of a daemon of the zone.
 func (s *state) heardMember(status *gossippb.Status, own *gossippb.Counts, now time.Time) {
 	uptime := time.Duration(status.GetUptimeMs()) * time.Millisecond
-	s.ledger.Heard(status.GetVm(), status.GetIncarnation(), decodeWindows(own.GetWindows()))
-	s.sums.TakeMember(rollup.Report{
+	s.ledger.MergePeer(status.GetVm(), status.GetIncarnation(), decodeWindows(own.GetWindows()))
+	s.sums.AddReport(rollup.Report{
 		VM: status.GetVm(), Incarnation: status.GetIncarnation(), Sequence: status.GetSequence(),
-		Started: uptime < settling, Counts: decodeCounts(own),
+		JustStarted: uptime < settling, Counts: decodeCounts(own),
 	}, now)
 }
 
 // heardZone takes over the sums of another zone.
 func (s *state) heardZone(status *gossippb.Status, sum *gossippb.Counts, now time.Time) {
-	s.ledger.HeardZone(status.GetZone(), decodeWindows(sum.GetWindows()))
-	s.sums.TakeZone(rollup.Summary{
+	s.ledger.MergeZone(status.GetZone(), decodeWindows(sum.GetWindows()))
+	s.sums.AddSummary(rollup.Summary{
 		Zone: status.GetZone(), VM: status.GetVm(), Incarnation: status.GetIncarnation(),
-		Started: time.Duration(status.GetUptimeMs())*time.Millisecond < settling,
-		Counts:  s.decodeSums(sum), Reach: decodeReach(status.GetZoneReach()),
+		JustStarted: time.Duration(status.GetUptimeMs())*time.Millisecond < settling,
+		Counts:      s.decodeSums(sum), Reach: decodeReach(status.GetZoneReach()),
 	}, now)
 }
 
@@ -204,7 +204,7 @@
 // or listens to another lead.
 func (s *state) heardLead(status *gossippb.Status, all *gossippb.Counts, now time.Time) {
 	if len(all.GetWindows()) > 0 {
-		s.ledger.HeardAll(decodeWindows(all.GetWindows()))
+		s.ledger.MergeAll(decodeWindows(all.GetWindows()))
 	}
 	plan := s.router.plan(now)
 	if plan.Leader || (status.GetVm() != plan.LeaderVM && !s.mayListen(status.GetVm(), now)) {
@@ -215,7 +215,7 @@
 		return
 	}
 	reach := decodeReach(status.GetReach())
-	if before, _ := s.reach(now); warmup && before.Heard > reach.Heard {
+	if before, _ := s.reach(now); warmup && before.Reachable > reach.Reachable {
 		reach = before
 	}
 	counts := s.decodeSums(all)
@@ -258,7 +258,7 @@
 		return
 	}
 	s.router.logger.Info("sums come from another lead", "lead", lead.vm, "incarnation", lead.incarnation, "lead_before", before.vm,
-		"own_report", lead.taken, "heard", lead.reach.Heard, "known", lead.reach.Known)
+		"own_report", lead.taken, "heard", lead.reach.Reachable, "known", lead.reach.Known)
 }
 
 // noteStaleReport notes that a lead's sums hold a report of this daemon that it does not remember. They cannot be
@@ -290,7 +290,7 @@
 	round := s.router.node.ReportInterval(now)
 	reach, _ := s.reach(now)
 	s.limiter.hear(allowance.Report{
-		VM: vm, Incarnation: incarnation, Counters: used, First: first, Behind: max(round, reach.Behind) + gossip.ReportLeadTime, Round: round,
+		VM: vm, Incarnation: incarnation, Counters: used, Baseline: first, Age: max(round, reach.MaxAge) + gossip.ReportLeadTime, Interval: round,
 	})
 }
 
@@ -322,7 +322,7 @@
 	others := s.sums.Others(now)
 	s.view.SetPeerLoads(others.Loads, now)
 	s.view.MergeEngineFigures(others.Paces)
-	spent, refused := s.sums.AllSpent()
+	spent, refused := s.sums.SpentByOthers()
 	s.hearUsed(s.router.settings.VM.ID, s.router.incarnation, allowance.Counters{Spent: spent, Refused: refused}, changed && before != "", now)
 }
 
--- a/internal/router/talk_test.go
+++ b/internal/router/talk_test.go
@@ -56,7 +56,7 @@
 func hearSums(s *state, uptime time.Duration, taken uint64, heard int, now time.Time) {
 	s.heardLead(&gossippb.Status{
 		Vm: "vm-0", Incarnation: 2, UptimeMs: uptime.Milliseconds(), Taken: taken,
-		Reach: encodeReach(rollup.Reach{Heard: heard, Known: 9}),
+		Reach: encodeReach(rollup.Reach{Reachable: heard, Known: 9}),
 	}, encodeCounts(rollup.NewCounts()), now)
 }
 
@@ -66,7 +66,7 @@
 	c := qt.New(t)
 	now := time.Now()
 	s := followerState(t, now)
-	s.lead = leadAccount{vm: "vm-0", incarnation: 1, at: now, taken: 3, reach: rollup.Reach{Heard: 9, Known: 9}}
+	s.lead = leadAccount{vm: "vm-0", incarnation: 1, at: now, taken: 3, reach: rollup.Reach{Reachable: 9, Known: 9}}
 	s.sent[4] = rollup.NewCounts()
 	for _, step := range []struct {
 		uptime time.Duration
@@ -80,7 +80,7 @@
 	} {
 		hearSums(s, step.uptime, step.taken, step.heard, now)
 		reach, _ := s.reach(now)
-		c.Check(reach.Heard, qt.Equals, step.want, qt.Commentf("%v after the lead's start", step.uptime))
+		c.Check(reach.Reachable, qt.Equals, step.want, qt.Commentf("%v after the lead's start", step.uptime))
 	}
 }
 
@@ -88,8 +88,8 @@
 // for those that used nothing.
 func TestUsesTellDemand(t *testing.T) {
 	c := qt.New(t)
-	uses, asked := decodeUses(encodeUses(map[string]allowance.Use{"a": {0, 300}}, map[string]float64{"a": 5, "b": 7}))
-	c.Check(uses["a"], qt.Equals, allowance.Use{0, 300})
+	uses, asked := decodeUses(encodeUses(map[string]allowance.Usage{"a": {0, 300}}, map[string]float64{"a": 5, "b": 7}))
+	c.Check(uses["a"], qt.Equals, allowance.Usage{0, 300})
 	c.Check(asked, qt.DeepEquals, map[string]float64{"a": 5, "b": 7})
 }
 
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -12,9 +12,9 @@
 // Counts are numbers of requests by workspace.
 type Counts map[string]int64
 
-// kept is the number of windows that are remembered: two for what is due, and
+// retainedWindows is the number of windows that are remembered: two for what is due, and
 // some for holders that come late.
-const kept = 8
+const retainedWindows = 8
 
 // Ledger holds the counts.
 type Ledger struct {
@@ -24,8 +24,8 @@
 	own    map[int64]Counts
 	remote map[reporter]map[int64]Counts
 	// zones holds what was told of other zones, and under everywhere of all.
-	zones   map[string]map[int64]Counts
-	highest int64
+	zones        map[string]map[int64]Counts
+	latestWindow int64
 }
 
 // reporter is one process of a peer.
@@ -46,8 +46,8 @@
 // End returns when a window ends.
 func (l *Ledger) End(id int64) time.Time { return time.Unix(0, (id+1)*int64(l.window)) }
 
-// Began counts a request that began to run.
-func (l *Ledger) Began(workspace string, at time.Time) {
+// RequestStarted counts a request that began to run.
+func (l *Ledger) RequestStarted(workspace string, at time.Time) {
 	id := l.WindowAt(at)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,36 +64,36 @@
 	defer l.mu.Unlock()
 	out := map[int64]Counts{}
 	for id, counts := range l.own {
-		if id > l.highest-int64(latest) {
+		if id > l.latestWindow-int64(latest) {
 			out[id] = maps.Clone(counts)
 		}
 	}
 	return out
 }
 
-// Heard takes over the counts of a peer's process. Counts only grow.
-func (l *Ledger) Heard(vm string, incarnation uint64, windows map[int64]Counts) {
+// MergePeer takes over the counts of a peer's process. Counts only grow.
+func (l *Ledger) MergePeer(vm string, incarnation uint64, windows map[int64]Counts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := reporter{vm, incarnation}
 	if l.remote[key] == nil {
 		l.remote[key] = map[int64]Counts{}
 	}
-	l.raise(l.remote[key], windows)
+	l.mergeWindows(l.remote[key], windows)
 }
 
-// raise takes over counts that are higher than those known.
-func (l *Ledger) raise(known, told map[int64]Counts) {
+// mergeWindows takes over counts that are higher than those known.
+func (l *Ledger) mergeWindows(known, told map[int64]Counts) {
 	for id, counts := range told {
 		if known[id] == nil {
 			known[id] = Counts{}
 		}
-		known[id].raise(counts)
+		known[id].mergeMax(counts)
 		l.prune(id)
 	}
 }
 
-func (c Counts) raise(other Counts) {
+func (c Counts) mergeMax(other Counts) {
 	for workspace, n := range other {
 		c[workspace] = max(c[workspace], n)
 	}
@@ -105,34 +105,34 @@
 	}
 }
 
-// everywhere stands for all zones together.
-const everywhere = ""
+// allZones stands for all zones together.
+const allZones = ""
 
-// HeardZone takes over the counts of another zone, whoever tells them.
-func (l *Ledger) HeardZone(zone string, windows map[int64]Counts) {
+// MergeZone takes over the counts of another zone, whoever tells them.
+func (l *Ledger) MergeZone(zone string, windows map[int64]Counts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.zones[zone] == nil {
 		l.zones[zone] = map[int64]Counts{}
 	}
-	l.raise(l.zones[zone], windows)
+	l.mergeWindows(l.zones[zone], windows)
 }
 
-// HeardAll takes over the counts of all zones together, as a relay tells them.
-func (l *Ledger) HeardAll(windows map[int64]Counts) { l.HeardZone(everywhere, windows) }
+// MergeAll takes over the counts of all zones together, as a relay tells them.
+func (l *Ledger) MergeAll(windows map[int64]Counts) { l.MergeZone(allZones, windows) }
 
 // Zone returns the counts of the latest windows over this daemon and those whose
 // reports it has.
-func (l *Ledger) Zone(latest int) map[int64]Counts { return l.latest(latest, l.zone) }
+func (l *Ledger) Zone(latest int) map[int64]Counts { return l.recentWindows(latest, l.zoneSum) }
 
 // All returns the counts of the latest windows over everything.
-func (l *Ledger) All(latest int) map[int64]Counts { return l.latest(latest, l.sum) }
+func (l *Ledger) All(latest int) map[int64]Counts { return l.recentWindows(latest, l.sum) }
 
-func (l *Ledger) latest(count int, sum func(id int64) Counts) map[int64]Counts {
+func (l *Ledger) recentWindows(count int, sum func(id int64) Counts) map[int64]Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := map[int64]Counts{}
-	for id := l.highest; id > l.highest-int64(count) && id > 0; id-- {
+	for id := l.latestWindow; id > l.latestWindow-int64(count) && id > 0; id-- {
 		if counts := sum(id); len(counts) > 0 {
 			out[id] = counts
 		}
@@ -142,11 +142,11 @@
 
 // prune forgets old windows.
 func (l *Ledger) prune(id int64) {
-	if id <= l.highest {
+	if id <= l.latestWindow {
 		return
 	}
-	l.highest = id
-	oldest := l.highest - kept
+	l.latestWindow = id
+	oldest := l.latestWindow - retainedWindows
 	drop := func(id int64, _ Counts) bool { return id < oldest }
 	maps.DeleteFunc(l.own, drop)
 	for _, windows := range l.zones {
@@ -169,19 +169,19 @@
 
 // sum adds up a window over all zones; the caller holds the lock.
 func (l *Ledger) sum(id int64) Counts {
-	total := l.zone(id)
+	total := l.zoneSum(id)
 	for name, windows := range l.zones {
-		if name != everywhere {
+		if name != allZones {
 			total.add(windows[id])
 		}
 	}
-	total.raise(l.zones[everywhere][id])
+	total.mergeMax(l.zones[allZones][id])
 	return total
 }
 
-// zone adds up a window over this daemon and those that report to it; the caller
+// zoneSum adds up a window over this daemon and those that report to it; the caller
 // holds the lock.
-func (l *Ledger) zone(id int64) Counts {
+func (l *Ledger) zoneSum(id int64) Counts {
 	total := Counts{}
 	total.add(l.own[id])
 	for _, windows := range l.remote {
