--- a/internal/allowance/allowance.go
+++ b/internal/allowance/allowance.go
@@ -1,7 +1,6 @@
-// Package allowance enforces how many tokens a workspace may use, over all
-// daemons together. Each daemon counts what was used within the window for which
-// the allowance is meant: what it admits itself and what its peers report. It
-// does no I/O; the time and chance are passed in.
+// Package allowance limits how many tokens each workspace may use, over all daemons together. Each
+// daemon counts what was used within a sliding window: what it admits itself and what its peers
+// report. The package does no I/O; callers pass in the current time and the source of randomness.
 package allowance
 
 import (
@@ -11,126 +10,133 @@
 	"github.com/plankridge/plankridge/internal/catalog"
 )
 
-// Tolerance is how far above its allowance a workspace may get in a window.
+// Tolerance is how far a workspace may exceed its allowance in a window. Together with the
+// allowance it bounds what any window may get.
 type Tolerance struct {
-	// Window is the length for which an allowance is meant: its rate over that time and
-	// one burst. Zero stands for defaultWindow.
+	// Window is the length of the window. An allowance is its rate over that time plus one burst.
+	// Zero means defaultWindow.
 	Window time.Duration
-	// Fraction is a share of the window's allowance, Tokens a number besides.
+	// Fraction is the part of the tolerance that is relative to the window's allowance, and Tokens
+	// the absolute part that is added to it.
 	Fraction float64
 	Tokens   float64
 }
 
-// defaultWindow is used where the operator states none.
+// defaultWindow is used if the operator does not set a window.
 const defaultWindow = 8 * time.Second
 
-// tokensFor returns the tolerance of an allowance, in tokens of a window.
+// tokensFor returns the tolerance for an allowance, in tokens per window.
 func (t Tolerance) tokensFor(limit float64) float64 { return t.Fraction*limit + t.Tokens }
 
-// Limiter holds what the workspaces have used.
+// Limiter tracks what the workspaces have used and decides which requests are admitted. It is safe
+// for concurrent use.
 type Limiter struct {
 	mu        sync.Mutex
 	tolerance Tolerance
-	// random returns a number from zero to one by chance.
+	// random returns a random number between zero and one.
 	random  func() float64
 	started time.Time
-	// countingSince is since when what the workspaces use has been counted without a gap, and
-	// resumedAt is when this process went on after it had stood still, until it is told what
-	// it missed.
+	// countingSince is the start of the period that this process has counted without a gap.
+	// resumedAt is when it resumed after a stall, or zero once it has adopted what it missed from a
+	// peer.
 	countingSince, resumedAt time.Time
-	// snapshot is what was known at the start, once it is known. settled is set once
-	// all daemons were heard, or have had the time to be.
+	// snapshot is the usage from before the start, or nil until it is known. settled is set once
+	// all daemons have been reachable or settleTimeout has passed.
 	snapshot *Snapshot
 	settled  bool
-	// reachableShare is the part of the daemons that is heard, this one included, and partitionedAt
-	// since when it is not all of them. It is zero while all are heard.
+	// reachableShare is the share of the known daemons that are reachable, this one included.
+	// partitionedAt is when it fell below one, or zero while all are reachable.
 	reachableShare float64
 	partitionedAt  time.Time
-	// alone is set while no other is heard, after the time to be.
+	// alone is set while no other daemon is reachable, once the limiter is settled.
 	alone bool
-	// reachablePeers is the number of other daemons that are heard, and knownPeers of those that are known.
+	// reachablePeers and knownPeers are the numbers of reachable and of known other daemons.
 	reachablePeers, knownPeers int
-	// reportAge is how old what is told may be when it comes, and round the time until the
-	// next news.
+	// reportAge is the age of a report's data when it arrives, and reportInterval the time between
+	// two reports.
 	reportAge, reportInterval time.Duration
 	accounts                  map[string]*account
 	lastCounters              map[reporter]Counters
 }
 
-// Counters are what a daemon, or several, have admitted and refused for lack of
-// allowance since their start, in tokens by workspace.
+// Counters are the tokens that one or more daemons have admitted, and those they have refused for
+// lack of allowance, since they started, by workspace.
 type Counters struct {
 	Spent, Refused map[string]float64
 }
 
-// reporter is one process of a peer.
+// reporter identifies one process of a peer.
 type reporter struct {
 	vm          string
 	incarnation uint64
 }
 
-// account is what one workspace uses.
+// account is the state of one workspace.
 type account struct {
 	rate  float64
 	limit float64
-	// used is what is known to have been used by all.
+	// used is the known usage of all daemons.
 	used window
-	// spent and refused are all that this daemon itself has admitted and refused.
+	// spent and refused are the totals that this daemon itself has admitted and refused.
 	spent, refused float64
-	// spentAtResume is what it had admitted when it last stood still.
+	// spentAtResume is the value of spent at the last stall.
 	spentAtResume float64
 	peers         peerActivity
-	// ownDemand is how fast this daemon itself is asked, and spentAtReport what it had admitted when
-	// others were last heard.
+	// ownDemand is the demand at this daemon. spentAtReport is the value of spent at the last
+	// report of peers.
 	ownDemand     demandMeter
 	spentAtReport float64
-	// restored is set once what was used before this process started is known, and
-	// adopted once a daemon that has been running for longer has told it.
+	// restored is set once the usage before the start of this process is known. adopted is set once
+	// it has been received from a daemon that has been running for longer.
 	restored, adopted bool
-	// assumeOwnDemand is set where other daemons are assumed to have this daemon's demand until theirs has been
-	// measured.
+	// assumeOwnDemand is set if other daemons are assumed to have the same demand as this one until
+	// theirs has been measured.
 	assumeOwnDemand bool
 }
 
 const (
-	// plannedToleranceShare is the part of the tolerance that is used on purpose: small workspaces, for
-	// which it is large, are not refused the last request of a window.
+	// plannedToleranceShare is the share of the tolerance that is used on purpose, so that small
+	// workspaces, for which the tolerance is large, are not refused the last request of a window.
 	plannedToleranceShare = 0.3
-	// retryToleranceShare is the part of the tolerance up to which requests that may have run are run again.
+	// retryToleranceShare is the share of the tolerance that retries of requests that may have run
+	// can use.
 	retryToleranceShare = 0.65
-	// jumpToleranceShare is the part of the tolerance that is left to a sudden jump of a workspace.
-	// The rest covers lost reports, cuts and starts. Were nothing held back for jumps, deaths
-	// of all and cuts beside a jump would break the rule (TestDeathOfAllWhileAWorkspaceIsHot,
-	// TestZoneCutWhileAWorkspaceIsHot).
+	// jumpToleranceShare is the share of the tolerance that is reserved for a sudden jump in a
+	// workspace's demand. The rest covers lost reports, partitions and restarts. Without the
+	// reserve, a jump followed by the death of all daemons or beside a partition exceeds the bound
+	// (TestDeathOfAllWhileAWorkspaceIsHot, TestZoneCutWhileAWorkspaceIsHot).
 	jumpToleranceShare = 0.5
-	// distributionWindowShare is the part of a window over which what is free goes to those that want more
-	// than that. Over 0.35 s of 8 s, the time until 8 daemons hear of each other, the same tests
-	// break: the room that a jump leaves is used up at once 8 s later, and more in each turn.
+	// distributionWindowShare is the share of a window over which free tokens are distributed when
+	// demand exceeds them. With 0.35 s of a window of 8 s, the time in which 8 daemons learn of
+	// each other's usage, the same tests fail: the tokens that a jump frees 8 s later are used up
+	// at once, and more so in each following window.
 	distributionWindowShare = 3.0 / 16
 )
 
-// NewLimiter returns a limiter without workspaces. Until it is told of others, it takes
-// itself for one of many, and the allowances for used up.
-func NewLimiter(tolerance Tolerance, now time.Time, draw func() float64) *Limiter {
+// NewLimiter returns a limiter without workspaces. Until it learns about other daemons, it assumes
+// that there are many and that the allowances are used up. The function random returns a random
+// number between zero and one. If it is nil, no request is admitted by chance.
+func NewLimiter(tolerance Tolerance, now time.Time, random func() float64) *Limiter {
 	if tolerance.Window <= 0 {
 		tolerance.Window = defaultWindow
 	}
 	return &Limiter{
-		started: now, countingSince: now, tolerance: tolerance, random: draw, reachableShare: 1,
+		started: now, countingSince: now, tolerance: tolerance, random: random, reachableShare: 1,
 		reportAge: initialReportAge, reportInterval: initialReportAge, knownPeers: initialKnownPeers,
 		accounts: map[string]*account{}, lastCounters: map[reporter]Counters{},
 	}
 }
 
-// Change is an allowance that a configuration has changed.
+// Change describes an allowance that a new configuration has changed.
 type Change struct {
 	Workspace string
-	// PreviousLimit and Limit are what it may use in a window, and Used what it has, in tokens.
+	// PreviousLimit and Limit are the old and new limit of a window, and Used what the workspace
+	// has used of it, in tokens.
 	PreviousLimit, Limit, Used float64
 }
 
-// ApplyCatalog takes over the allowances of a configuration. It returns those that were there before
-// and have changed.
+// ApplyCatalog applies the allowances of a new configuration. It returns the changes to allowances
+// that existed before.
 func (l *Limiter) ApplyCatalog(c *catalog.Catalog, now time.Time) []Change {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,8 +162,9 @@
 	return changes
 }
 
-// keepRecentlyUsed adds the accounts that a configuration does not name any more, while something was used in their window:
-// one that is named again goes on with it, and its counters only grow.
+// keepRecentlyUsed keeps the accounts that the new configuration omits while their window is not
+// empty. A workspace that is listed again then continues with its usage, and its counters never
+// decrease.
 func (l *Limiter) keepRecentlyUsed(next map[string]*account, now time.Time) {
 	for name, a := range l.accounts {
 		if next[name] != nil {
@@ -171,42 +178,43 @@
 	}
 }
 
-// SetReachable takes over how many of the known daemons are heard, this one
-// included. Each side of a partition uses its part of what was left, so that the
-// parts never add up to more than the whole.
-func (l *Limiter) SetReachable(heard, known int, now time.Time) {
+// SetReachable sets how many of the known daemons are reachable, this one included. Each side of a
+// partition may use its share of what was left when the partition began, so that the sides together
+// never exceed the whole.
+func (l *Limiter) SetReachable(reachable, known int, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	share := 1.0
+	reachableShare := 1.0
 	if known > 0 {
-		share = min(1, float64(heard)/float64(known))
+		reachableShare = min(1, float64(reachable)/float64(known))
 	}
-	l.settled = l.settled || share >= 1 || now.Sub(l.started) >= settleTimeout
-	l.alone = l.settled && heard <= 1
-	before := l.reachablePeerShare()
-	l.reachablePeers, l.knownPeers = max(0, heard-1), max(0, known-1)
+	l.settled = l.settled || reachableShare >= 1 || now.Sub(l.started) >= settleTimeout
+	l.alone = l.settled && reachable <= 1
+	previous := l.reachablePeerShare()
+	l.reachablePeers, l.knownPeers = max(0, reachable-1), max(0, known-1)
 	switch {
-	case share >= 1:
+	case reachableShare >= 1:
 		l.partitionedAt = time.Time{}
 	case l.settled && l.partitionedAt.IsZero():
 		l.partitionedAt = now
 	}
 	for _, a := range l.accounts {
-		l.updateReachable(a, share, before-l.reachablePeerShare(), now)
+		l.updateReachable(a, reachableShare, previous-l.reachablePeerShare(), now)
 	}
-	l.reachableShare = share
+	l.reachableShare = reachableShare
 }
 
-// updateReachable takes over that the part of the daemons that is heard has changed, and that a part of the others is not
-// heard any more. Those go on, but with their own part; what they have spent since they fell
-// silent is taken to be as much as before. Those that are heard again tell at once what
-// they have spent meanwhile, which says nothing of how fast they are asked: taken for 0.15 s
-// worth of it, 5 s of a cut kept a workspace from what was free for 8 s more.
-func (l *Limiter) updateReachable(a *account, share, lost float64, now time.Time) {
-	if share != l.reachableShare {
+// updateReachable updates an account after the share of reachable daemons has changed; lost is the
+// share of the peers that has become unreachable. Unreachable peers go on admitting within their
+// own share, so what they have spent since their last report is estimated from their last rate.
+// Peers that become reachable again report everything they spent meanwhile at once, which says
+// nothing about their rate. When this backlog was taken for 0.15 s of spending, a partition of 5 s
+// kept a workspace from using free tokens for another 8 s.
+func (l *Limiter) updateReachable(a *account, reachableShare, lost float64, now time.Time) {
+	if reachableShare != l.reachableShare {
 		a.peers.changedAt = now
 	}
-	if share > l.reachableShare {
+	if reachableShare > l.reachableShare {
 		a.peers.backlog = true
 	}
 	if lost > 0 {
@@ -215,14 +223,13 @@
 	}
 }
 
-// Admit takes tokens from a workspace's allowance, or says when enough may be
-// there.
+// Admit takes tokens from a workspace's allowance, or returns when enough of them may be available.
 //
-// Where all that others can be asked for until they are heard fits beside the request,
-// it is admitted: what is within the allowance is not refused. Where it does not fit,
-// what is free goes to a part of all requests, drawn by chance: daemons that decide
-// at once and do not know of each other so admit what is free together, without asking
-// each other and however small the part of each is beside a request.
+// If the free tokens cover the request and everything that peers may have admitted since their last
+// report, the request is admitted: what is within the allowance is not refused. Otherwise a random
+// part of the requests is admitted. This lets daemons that decide at the same time, without
+// knowledge of each other, admit what is free between them. They need not ask each other, however
+// small each daemon's share is compared with a request.
 func (l *Limiter) Admit(workspace string, tokens float64, now time.Time) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -232,7 +239,7 @@
 	}
 	a.used.advance(now)
 	a.ownDemand.add(tokens, now)
-	// A request above the whole allowance of a window is admitted to an empty one.
+	// A request larger than the whole allowance is admitted to an empty window.
 	need := min(tokens, a.limit)
 	free := l.free(a, now) + l.toleranceMargin(a, now)
 	if a.assumeOwnDemand && l.reportOverdue(a, now) {
@@ -254,8 +261,8 @@
 	return verdict
 }
 
-// AdmitRetry takes tokens for one more run of a request that was admitted and may have run. It goes before new requests,
-// which are refused for it.
+// AdmitRetry takes tokens for another run of an admitted request that may have run already. Retries
+// have priority over new requests, which are refused in their favor.
 func (l *Limiter) AdmitRetry(workspace string, tokens float64, now time.Time) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -280,11 +287,11 @@
 	a.spent += tokens
 }
 
-// free returns what this daemon may count on: what is left of the window, or in a
-// partition its part of what was left when it began.
+// free returns the tokens that this daemon may use: what is left in the window or, during a
+// partition, this side's share of what was left when it began.
 func (l *Limiter) free(a *account, now time.Time) float64 {
 	if !a.restored && now.Sub(l.started) < l.tolerance.Window {
-		// All may have been used a moment before the start.
+		// The whole allowance may have been used just before the start.
 		return unknownUsageShare*l.tolerance.tokensFor(a.limit) - a.used.sum()
 	}
 	if l.catchingUp(now) {
@@ -294,13 +301,13 @@
 	if l.partitionedAt.IsZero() {
 		return a.limit - used
 	}
-	before := a.used.sumBefore(l.partitionedAt)
-	return l.reachableShare*(a.limit-before) - (used - before)
+	usedBefore := a.used.sumBefore(l.partitionedAt)
+	return l.reachableShare*(a.limit-usedBefore) - (used - usedBefore)
 }
 
-// toleranceMargin returns how much of the tolerance is used on purpose, or below zero what is held
-// back: a workspace that suddenly asks for much more gets, before daemons have heard of it,
-// what the tolerance has to cover.
+// toleranceMargin returns the part of the tolerance that is used on purpose. A negative value is
+// the part of the allowance that is held back. A workspace whose demand jumps gets tokens from all
+// daemons before they receive each other's reports, and the tolerance has to cover this.
 func (l *Limiter) toleranceMargin(a *account, now time.Time) float64 {
 	tolerance := l.tolerance.tokensFor(a.limit)
 	jump := max(0, assumedDemandFactor*a.rate-l.othersDemand(a, now)) * (l.reportAge + l.reportInterval).Seconds()
@@ -310,33 +317,34 @@
 	return l.reachableShare * min(plannedToleranceShare*tolerance, jumpToleranceShare*tolerance-jump)
 }
 
-// admitByChance draws whether a request is among those to which the rest goes.
+// admitByChance decides at random whether a request gets a part of the free tokens.
 func (l *Limiter) admitByChance(a *account, need, free float64, now time.Time) bool {
 	if free <= 0 || l.random == nil {
 		return false
 	}
-	asked := l.othersDemand(a, now)
+	demand := l.othersDemand(a, now)
 	if a.assumeOwnDemand {
-		// Without other daemons its own requests compete for what is free.
-		asked += a.ownDemand.rate(now)
+		// If there are no other daemons, its own requests compete for the free tokens.
+		demand += a.ownDemand.rate(now)
 		free *= l.usableShare(a, now)
 	}
-	rivals := asked * max(l.distributionTime(), l.reportAge+l.reportInterval, l.unreportedTime(a, now)).Seconds()
-	if rivals == 0 && l.reachableShare >= 1 {
+	competing := demand * max(l.distributionTime(), l.reportAge+l.reportInterval, l.unreportedTime(a, now)).Seconds()
+	if competing == 0 && l.reachableShare >= 1 {
 		return false
 	}
-	return l.random() < free/max(rivals, need)
+	return l.random() < free/max(competing, need)
 }
 
-// distributionTime is the time over which what is free goes to those that want more than that.
+// distributionTime is the time over which free tokens are distributed when demand exceeds them.
 func (l *Limiter) distributionTime() time.Duration {
 	return time.Duration(distributionWindowShare * float64(l.tolerance.Window))
 }
 
-// uncertainShare is the part of what is free that is used while what others do is not known.
+// uncertainShare is the share of the free tokens that may be used while the activity of peers is
+// unknown.
 const uncertainShare = 0.5
 
-// usableShare returns the part of what is free that may be used.
+// usableShare returns the share of the free tokens that may be used.
 func (l *Limiter) usableShare(a *account, now time.Time) float64 {
 	if l.reportOverdue(a, now) || a.peers.remeasuring(now) {
 		return uncertainShare
@@ -344,21 +352,22 @@
 	return 1
 }
 
-// retryAfter returns how long a caller had better wait until what is missing is there.
+// retryAfter returns how long a caller should wait until the missing tokens are available.
 func (l *Limiter) retryAfter(a *account, missing float64, now time.Time) time.Duration {
 	if !a.restored && now.Sub(l.started) < l.tolerance.Window {
 		return unsettledRetryAfter
 	}
 	wait := a.used.timeToFree(missing/l.reachableShare, now)
 	if l.othersDemand(a, now) > 0 && l.random != nil {
-		// Were all that were refused to come back as it leaves, it would go to few of them.
+		// Spread the retries: if all refused callers came back when the tokens become free, only a
+		// few would get them.
 		wait += time.Duration(l.random() * float64(wait))
 	}
 	return wait
 }
 
-// Refund gives back the tokens of a request that was admitted at a time and has not run.
-// What has left the window meanwhile is not there to be taken back.
+// Refund returns the tokens of a request that was admitted at the given time and has not run.
+// Tokens that have left the window since are not returned to it.
 func (l *Limiter) Refund(workspace string, tokens float64, admitted time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -372,31 +381,34 @@
 func (l *Limiter) OwnCounters() Counters {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	own := Counters{Spent: map[string]float64{}, Refused: map[string]float64{}}
+	counters := Counters{Spent: map[string]float64{}, Refused: map[string]float64{}}
 	for name, a := range l.accounts {
 		if a.spent != 0 {
-			own.Spent[name] = a.spent
+			counters.Spent[name] = a.spent
 		}
 		if a.refused != 0 {
-			own.Refused[name] = a.refused
+			counters.Refused[name] = a.refused
 		}
 	}
-	return own
+	return counters
 }
 
-// Report is what a peer's process, or all others as that process tells, have counted.
+// Report contains the counters of one peer process, or those of all other daemons as added up by
+// that process.
 type Report struct {
 	VM          string
 	Incarnation uint64
 	Counters    Counters
-	// Baseline is set when this daemon had not listened to a process that has been running
-	// for a while: what was spent before came from another source.
+	// Baseline is set for the first report from a process that has been running for a while.
+	// Earlier spending was reported by another source, so the counters only serve as the base for
+	// the next report.
 	Baseline bool
-	// Age is how old the counts may be, and Round the time until the next ones.
+	// Age is how old the counters may be, and Interval the time until the next report.
 	Age, Interval time.Duration
 }
 
-// ApplyReport takes over a report.
+// ApplyReport adds the increase of the counters since the last report of the same process to the
+// usage.
 func (l *Limiter) ApplyReport(r Report, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -406,14 +418,15 @@
 	for name, a := range l.accounts {
 		a.used.advance(now)
 		if r.Baseline {
-			// Between two sources what others spent is told by none. Each is taken to have
-			// spent what it spent before, or as much as this daemon: while all leads were dead
-			// a workspace that had become hot used a quarter of its allowance untold.
+			// No report covers the time between two sources. Peers are assumed to have spent at
+			// their last rate or, if that is more, as much as this daemon each. Without this, while
+			// all leads were dead, a workspace whose demand had jumped used a quarter of its
+			// allowance unreported.
 			if l.alone {
 				continue
 			}
-			like := (a.spent - a.spentAtReport) * float64(l.reachablePeers)
-			a.used.add(max(a.peers.unreportedSpend(now), like), now)
+			ownSpending := (a.spent - a.spentAtReport) * float64(l.reachablePeers)
+			a.used.add(max(a.peers.unreportedSpend(now), ownSpending), now)
 			a.peers.reportedAt, a.peers.changedAt, a.spentAtReport = now, now, a.spent
 			continue
 		}
--- a/internal/allowance/allowance_test.go
+++ b/internal/allowance/allowance_test.go
@@ -12,10 +12,11 @@
 	_ "github.com/plankridge/plankridge/internal/standin/fixedseed"
 )
 
-// neverAdmit is a draw that wins nothing.
+// neverAdmit is a random source for which no request is admitted by chance.
 func neverAdmit() float64 { return 1 }
 
-// newSoleLimiter returns the limiter of a sole daemon that knows so and has long been running.
+// newSoleLimiter returns the limiter of the only daemon of a deployment, which has been running for
+// an hour.
 func newSoleLimiter(rate, burst float64) (*Limiter, time.Time) {
 	l := NewLimiter(Tolerance{}, start, neverAdmit)
 	l.SetReachable(1, 1, start)
@@ -28,7 +29,7 @@
 
 func (l *Limiter) usedTokens() float64 { return l.accounts["w"].used.sum() }
 
-// TestWindowLimit: the rate over the window and one burst, at whatever pace.
+// TestWindowLimit checks that a window gets the rate over its length and one burst, at any pace.
 func TestWindowLimit(t *testing.T) {
 	c := qt.New(t)
 	l, now := newSoleLimiter(100, 50)
@@ -46,7 +47,8 @@
 	c.Check(ok, qt.IsTrue)
 }
 
-// TestRetryAfterCoversRequest: not when the first of it has.
+// TestRetryAfterCoversRequest guards against a RetryAfter at which only some of the tokens of a
+// request are free.
 func TestRetryAfterCoversRequest(t *testing.T) {
 	c := qt.New(t)
 	l, now := newSoleLimiter(100, 50)
@@ -68,11 +70,11 @@
 	l := NewLimiter(Tolerance{}, start, neverAdmit)
 	l.ApplyCatalog(testCatalog(100, 50), start)
 	refused := l.Admit("w", 10, start)
-	c.Check(refused.Admitted, qt.IsFalse, qt.Commentf("others may have used all a moment ago"))
+	c.Check(refused.Admitted, qt.IsFalse, qt.Commentf("peers may have used the whole allowance just before"))
 	c.Check(refused.RetryAfter, qt.Equals, unsettledRetryAfter)
 	l.SetReachable(1, 1, start)
 	ok := l.Admit("w", 10, start.Add(defaultWindow)).Admitted
-	c.Check(ok, qt.IsTrue, qt.Commentf("by then it does not matter"))
+	c.Check(ok, qt.IsTrue, qt.Commentf("the earlier usage has left the window"))
 }
 
 func TestPeerUsageCounts(t *testing.T) {
@@ -80,11 +82,11 @@
 	l, now := newSoleLimiter(100, 50)
 	l.ApplyReport(Report{VM: "peer", Incarnation: 1, Counters: spentCounters(10_000), Baseline: true}, now)
 	ok := l.Admit("w", 10, now).Admitted
-	c.Check(ok, qt.IsTrue, qt.Commentf("a first report tells of the past"))
+	c.Check(ok, qt.IsTrue, qt.Commentf("a baseline report adds no usage"))
 	l.ApplyReport(Report{VM: "peer", Incarnation: 1, Counters: spentCounters(10_840)}, now)
 	ok = l.Admit("w", 10, now).Admitted
 	c.Check(ok, qt.IsFalse)
-	// A restarted process begins anew.
+	// A restarted process counts from zero.
 	l.ApplyReport(Report{VM: "peer", Incarnation: 2, Counters: spentCounters(5)}, now)
 	c.Check(l.usedTokens(), qt.Equals, 855.0)
 }
@@ -94,7 +96,7 @@
 	l, now := newSoleLimiter(1000, 1000)
 	l.ApplyCatalog(testCatalog(10, 10), now)
 	ok := l.Admit("w", 91, now).Admitted
-	c.Check(ok, qt.IsTrue, qt.Commentf("more than the whole allowance goes to an empty window"))
+	c.Check(ok, qt.IsTrue, qt.Commentf("a request above the whole allowance is admitted to an empty window"))
 	ok = l.Admit("w", 1, now).Admitted
 	c.Check(ok, qt.IsFalse)
 }
@@ -109,8 +111,8 @@
 	c.Check(l.OwnCounters().Spent["w"], qt.Equals, 850.0)
 }
 
-// TestRefundAfterWindow: what was admitted has left the window, and what is
-// in it was used by others.
+// TestRefundAfterWindow guards against a refund that removes other requests' tokens from the window
+// after the refunded tokens have left it.
 func TestRefundAfterWindow(t *testing.T) {
 	c := qt.New(t)
 	l, now := newSoleLimiter(100, 50)
@@ -122,7 +124,8 @@
 	c.Check(l.Admit("w", 1, later).Admitted, qt.IsFalse)
 }
 
-// TestRefusedTokensAreCounted: others learn from them how much is asked for.
+// TestRefusedTokensAreCounted checks that refused tokens are part of the counters, from which peers
+// compute the demand.
 func TestRefusedTokensAreCounted(t *testing.T) {
 	c := qt.New(t)
 	l, now := newSoleLimiter(100, 50)
@@ -131,9 +134,9 @@
 	c.Check(l.OwnCounters(), qt.DeepEquals, Counters{Spent: map[string]float64{"w": 800}, Refused: map[string]float64{"w": 70}})
 }
 
-// TestSidesOfAPartitionStayWithin: whatever is asked of the daemons on both
-// sides, and however the daemons are split, no window gets more than the
-// allowance and what was admitted before the partition was noticed.
+// TestSidesOfAPartitionStayWithin checks that the sides of a partition together stay within the
+// allowance, including what was admitted before the partition was noticed, for random demand and
+// any split of the daemons.
 func TestSidesOfAPartitionStayWithin(t *testing.T) {
 	const rate, burst, largest = 1000.0, 1000.0, 300.0
 	rapid.Check(t, func(t *rapid.T) {
@@ -148,11 +151,11 @@
 			limiters[i].ApplyCatalog(testCatalog(rate, burst), now)
 			limiters[i].ApplyReport(Report{VM: "before", Incarnation: 1}, now)
 			limiters[i].ApplyReport(Report{VM: "before", Incarnation: 1, Counters: spentCounters(before)}, now)
-			heard := left
+			reachable := left
 			if i >= left {
-				heard = daemons - left
+				reachable = daemons - left
 			}
-			limiters[i].SetReachable(heard, daemons, now.Add(200*time.Millisecond))
+			limiters[i].SetReachable(reachable, daemons, now.Add(200*time.Millisecond))
 		}
 		now = now.Add(200 * time.Millisecond)
 		const ticks = 75
@@ -174,7 +177,7 @@
 	})
 }
 
-// reportToSide passes a daemon's report on to those on its side of the partition.
+// reportToSide applies a daemon's report at the daemons on its side of the partition.
 func reportToSide(limiters []*Limiter, from, left int, now time.Time) {
 	for i, l := range limiters {
 		if i != from && (i < left) == (from < left) {
@@ -197,11 +200,11 @@
 	c.Check(ok, qt.IsFalse)
 	now = now.Add(7500 * time.Millisecond)
 	ok = l.Admit("w", 1200, now).Admitted
-	c.Check(ok, qt.IsTrue, qt.Commentf("a quarter of all, once what was used before the cut has left"))
+	c.Check(ok, qt.IsTrue, qt.Commentf("a quarter of the allowance, once the usage before the partition has left the window"))
 }
 
-// TestLargeRequestsAreAdmittedByChance: where a daemon's part is a tenth of a
-// request, it admits a tenth of such requests.
+// TestLargeRequestsAreAdmittedByChance checks that a daemon whose share is a tenth of a request
+// admits a tenth of such requests.
 func TestLargeRequestsAreAdmittedByChance(t *testing.T) {
 	c := qt.New(t)
 	draws := []float64{0.11, 0.09}
@@ -219,7 +222,7 @@
 	ok = l.Admit("w", 1000, now).Admitted
 	c.Check(ok, qt.IsTrue)
 	ok = l.Admit("w", 1000, now).Admitted
-	c.Check(ok, qt.IsFalse, qt.Commentf("the part is used up"))
+	c.Check(ok, qt.IsFalse, qt.Commentf("the share is used up"))
 }
 
 func TestWindowExpiry(t *testing.T) {
@@ -253,8 +256,8 @@
 	})
 }
 
-// TestReconfiguredWorkspaceKeepsUsage guards against an allowance that is there twice, and counters that start again,
-// where a configuration leaves a workspace out for a moment.
+// TestReconfiguredWorkspaceKeepsUsage guards against a workspace getting its allowance twice, and
+// its counters restarting, when one configuration omits it and the next one lists it again.
 func TestReconfiguredWorkspaceKeepsUsage(t *testing.T) {
 	c := qt.New(t)
 	l, now := newSoleLimiter(100, 50)
@@ -266,5 +269,5 @@
 	c.Check(l.OwnCounters().Spent["w"], qt.Equals, 840.0)
 	l.ApplyCatalog((&catalog.Catalog{}).Build(), now)
 	l.ApplyCatalog((&catalog.Catalog{}).Build(), now.Add(time.Minute))
-	c.Check(l.OwnCounters().Spent, qt.HasLen, 0, qt.Commentf("a workspace is forgotten with its window"))
+	c.Check(l.OwnCounters().Spent, qt.HasLen, 0, qt.Commentf("an account is dropped once its window is empty"))
 }
--- a/internal/allowance/demand.go
+++ b/internal/allowance/demand.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// initialKnownPeers is the number of other daemons while it is not known: that of the largest deployment.
+// initialKnownPeers is the assumed number of other daemons until it is known: that of the largest
+// deployment.
 const initialKnownPeers = 329
 
-// reachablePeerShare returns the part of the other daemons that is heard.
+// reachablePeerShare returns the share of the other daemons that are reachable.
 func (l *Limiter) reachablePeerShare() float64 {
 	if l.knownPeers == 0 {
 		return 1
@@ -13,8 +14,8 @@
 	return min(1, float64(l.reachablePeers)/float64(l.knownPeers))
 }
 
-// competingPeers returns the number of other daemons that take their part of the same allowance: those that are heard, and
-// after a start all that are known.
+// competingPeers returns the number of other daemons that use the same allowance: the reachable
+// ones or, until the limiter is settled, all known ones.
 func (l *Limiter) competingPeers() int {
 	if !l.settled {
 		return max(l.reachablePeers, l.knownPeers)
@@ -22,23 +23,25 @@
 	return l.reachablePeers
 }
 
-// distributionDemandFactor is from which demand on, as a multiple of an allowance's rate, what becomes free is handed out over time:
-// that of callers who ask for twice the rate and come back once when they are refused.
+// distributionDemandFactor is the demand, as a multiple of the allowance's rate, above which freed
+// tokens are distributed over time. Callers who ask for twice the rate and retry once when refused
+// reach it.
 const distributionDemandFactor = 3
 
-// unreported returns the most that others are taken to have admitted since they were heard.
+// unreported returns the most that peers are assumed to have admitted since their last report.
 func (l *Limiter) unreported(a *account, now time.Time) float64 {
-	horizon := l.unreportedTime(a, now)
+	span := l.unreportedTime(a, now)
 	if a.peers.measured && a.peers.demand.perSecond > distributionDemandFactor*a.rate {
-		// What becomes free at once would go at once, to callers that were told when to come back.
-		horizon = max(horizon, l.distributionTime())
+		// Tokens that become free would otherwise go at once to callers that were told to retry
+		// then.
+		span = max(span, l.distributionTime())
 	}
-	return l.othersDemand(a, now) * horizon.Seconds()
+	return l.othersDemand(a, now) * span.Seconds()
 }
 
-// othersDemand returns how fast others are asked, in tokens a second. Until it is known, they are
-// taken to be asked for much: taken for not asked at all between the first news and the
-// second, each of 300 daemons that had all started took what was free for its own.
+// othersDemand returns the demand at the other daemons, in tokens per second. Until it has been
+// measured, a high demand is assumed. When it was taken for zero between the first and the second
+// report, each of 300 daemons that had started together took the free tokens for itself.
 func (l *Limiter) othersDemand(a *account, now time.Time) float64 {
 	switch {
 	case l.alone:
@@ -56,8 +59,9 @@
 	return measured
 }
 
-// assumedDemand returns how fast others are asked while they have not told it, if each is asked as this daemon is.
-// Where it is known how fast they were asked before, one request of this daemon says nothing.
+// assumedDemand returns the demand at the other daemons before they report it, assuming that each
+// has the same demand as this one. If the earlier demand has been restored, this daemon's first
+// request is left out, because a single request says nothing about the rate.
 func (l *Limiter) assumedDemand(a *account, now time.Time) float64 {
 	rate := a.ownDemand.rate(now)
 	if a.peers.demandRestored {
@@ -66,25 +70,26 @@
 	return rate * float64(l.competingPeers())
 }
 
-// extrapolatedDemand returns how fast others are asked if each is asked as this daemon is.
+// extrapolatedDemand returns the demand at the other daemons if each has the same demand as this
+// one.
 func (l *Limiter) extrapolatedDemand(a *account, now time.Time) float64 {
 	return a.ownDemand.rate(now) * float64(l.competingPeers())
 }
 
-// reportOverdue reports whether news of others should have come by now. Those that tell them may
-// have died, and what was told last says nothing of a workspace that has become hot since:
-// until others are heard again, all are taken to be asked as this daemon is. With the rate of
-// before, the death of most daemons just after a workspace had become hot let it use 1.03 of
-// what the rule allows (TestDeathOfMostWhileAWorkspaceIsHot, 300 daemons).
+// reportOverdue reports whether the next report of peers is overdue. The daemons that send it may
+// have died, and the last report does not cover a demand that has jumped since. Until the next
+// report, all peers are assumed to have the same demand as this daemon. When the last measured
+// demand was used instead, the death of most daemons just after a jump let the workspace use 1.03
+// of the bound (TestDeathOfMostWhileAWorkspaceIsHot, 300 daemons).
 func (l *Limiter) reportOverdue(a *account, now time.Time) bool {
 	return !a.peers.reportedAt.IsZero() && now.Sub(a.peers.reportedAt) > reportOverdueAfter
 }
 
-// unreportedTime returns how long ago what is known of others ends.
+// unreportedTime returns the time that the last report does not cover, at most maxExtrapolation.
 func (l *Limiter) unreportedTime(a *account, now time.Time) time.Duration {
-	heardAt := a.peers.reportedAt
-	if heardAt.IsZero() {
-		heardAt = l.started
+	reportedAt := a.peers.reportedAt
+	if reportedAt.IsZero() {
+		reportedAt = l.started
 	}
-	return min(maxExtrapolation, l.reportAge+now.Sub(heardAt))
+	return min(maxExtrapolation, l.reportAge+now.Sub(reportedAt))
 }
--- a/internal/allowance/demand_test.go
+++ b/internal/allowance/demand_test.go
@@ -7,17 +7,18 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// newStartingLimiter returns a limiter of one of 77 daemons that has just started, with nothing used before.
-func newStartingLimiter(asked map[string]float64, draw func() float64) *Limiter {
-	l := NewLimiter(testTolerance, start, draw)
-	l.Restore(Snapshot{Demand: asked}, start)
+// newStartingLimiter returns the limiter of one of 77 daemons that has just started. Nothing was
+// used before.
+func newStartingLimiter(demand map[string]float64, random func() float64) *Limiter {
+	l := NewLimiter(testTolerance, start, random)
+	l.Restore(Snapshot{Demand: demand}, start)
 	l.ApplyCatalog(testCatalog(100_000, 100_000), start)
 	l.SetReachable(1, 77, start)
 	return l
 }
 
-// TestStartUsesRestoredDemand guards against starts that take all to be asked for a few times an allowance that
-// was lowered to a part of what callers ask for.
+// TestStartUsesRestoredDemand guards against a starting daemon that assumes a demand of a few times
+// the allowance, when the allowance was lowered to a small part of the demand.
 func TestStartUsesRestoredDemand(t *testing.T) {
 	c := qt.New(t)
 	never := func() float64 { return 1 }
@@ -31,8 +32,8 @@
 	c.Check(adopting.Admit("w", 20_000, start).OthersDemand, qt.Equals, 6_000_000.0)
 }
 
-// TestStartAssumesPeersHaveOwnDemand guards against 77 daemons that each take what is free for their own before
-// they hear of each other.
+// TestStartAssumesPeersHaveOwnDemand guards against 77 starting daemons that each use the free
+// tokens for themselves before they receive each other's reports.
 func TestStartAssumesPeersHaveOwnDemand(t *testing.T) {
 	c := qt.New(t)
 	draw := 0.0
@@ -50,8 +51,8 @@
 	c.Check(admitted > 0, qt.IsTrue)
 }
 
-// TestStartAssumesManyPeers guards against starts that take themselves for the only one until they are
-// told of others.
+// TestStartAssumesManyPeers guards against a starting daemon that takes itself for the only one
+// until it learns of others.
 func TestStartAssumesManyPeers(t *testing.T) {
 	c := qt.New(t)
 	l := NewLimiter(testTolerance, start, func() float64 { return 1 })
@@ -59,8 +60,8 @@
 	c.Check(l.Admit("w", 20_000, start).Admitted, qt.IsFalse)
 }
 
-// TestFreedTokensAreDistributedOverTime guards against all callers that wait for room getting it in the moment in
-// which it is there.
+// TestFreedTokensAreDistributedOverTime guards against waiting callers getting all freed tokens the
+// moment they become free.
 func TestFreedTokensAreDistributedOverTime(t *testing.T) {
 	for times, admitted := range map[float64]bool{1.5: true, 20: false} {
 		c := qt.New(t)
@@ -73,6 +74,6 @@
 			l.ApplyReport(Report{VM: "lead", Counters: Counters{Refused: map[string]float64{"w": refused}}, Interval: 150 * time.Millisecond}, now)
 		}
 		verdict := l.Admit("w", 5_000, now)
-		c.Check(verdict.Admitted, qt.Equals, admitted, qt.Commentf("%v times the rate asked, %.0f free", times, verdict.Free))
+		c.Check(verdict.Admitted, qt.Equals, admitted, qt.Commentf("demand of %v times the rate, %.0f free", times, verdict.Free))
 	}
 }
--- a/internal/allowance/peers.go
+++ b/internal/allowance/peers.go
@@ -3,146 +3,148 @@
 import "time"
 
 const (
-	// maxExtrapolation is how long others are taken to go on after they were last heard: the
-	// time after which a silent daemon counts as not reached.
+	// maxExtrapolation is how long peers are assumed to go on at their last rate after a report. A
+	// daemon that is silent for longer counts as unreachable.
 	maxExtrapolation = 1500 * time.Millisecond
-	// riseTime and fallTime are the times over which a change of how fast others spend and
-	// are asked is taken over. It rises soon, since a workspace that suddenly asks for five
-	// times its allowance uses half a window's tolerance in each report that it is
-	// believed later, but not by one large request of a few daemons that tell each other
-	// seven times a second, and falls slowly: callers come in clusters.
+	// riseTime and fallTime are the time constants for averaging the spending and demand of peers.
+	// The average rises fast, because a workspace whose demand jumps to five times its allowance
+	// uses half of a window's tolerance in each report interval by which the rise is delayed. It
+	// must not rise on one large request in a small deployment, whose daemons report seven times a
+	// second. It falls slowly because requests come in clusters.
 	riseTime = 500 * time.Millisecond
 	fallTime = 4 * time.Second
 )
 
-// reportOverdueAfter is the time after which news of others are overdue: two rounds of reports of a
-// large deployment, of which one may be lost. With two rounds of a small one, 0.3 s, daemons
-// that had no processor time for as long refused what was within the allowance.
+// reportOverdueAfter is how long after the last report the next one is overdue: two report
+// intervals of a large deployment, so that one report may be lost. With two intervals of a small
+// deployment, 0.3 s, daemons that got no CPU time for that long refused requests within the
+// allowance.
 const reportOverdueAfter = 800 * time.Millisecond
 
-// demandSlice is the time over which what this daemon is asked is counted, twice: a hot workspace
-// asks each of 300 daemons for two requests a second.
+// demandSlice is the length of each of the two slices over which a daemon's own demand is measured.
+// A workspace with a very high demand sends each of 300 daemons two requests per second.
 const demandSlice = 500 * time.Millisecond
 
-// minDemandSpan is the shortest time that a rate is taken over: two requests at once are no rate.
+// minDemandSpan is the shortest time over which a rate is computed, because two simultaneous
+// requests do not make a rate.
 const minDemandSpan = 200 * time.Millisecond
 
-// demandMeter is how fast this daemon itself is asked, over the present slice and the one before.
+// demandMeter measures the demand at this daemon over the current slice and the previous one.
 type demandMeter struct {
 	sliceStart        time.Time
 	previous, current float64
-	// firstAt is when the first request came, and first its tokens.
+	// firstAt is the time of the first request, and firstTokens its tokens.
 	firstAt     time.Time
 	firstTokens float64
 }
 
-// add counts tokens that were asked for.
-func (o *demandMeter) add(tokens float64, now time.Time) {
-	if o.firstAt.IsZero() {
-		o.firstAt, o.firstTokens = now, tokens
+// add counts the tokens of a request.
+func (m *demandMeter) add(tokens float64, now time.Time) {
+	if m.firstAt.IsZero() {
+		m.firstAt, m.firstTokens = now, tokens
 	}
-	o.advance(now)
-	o.current += tokens
+	m.advance(now)
+	m.current += tokens
 }
 
-func (o *demandMeter) advance(now time.Time) {
-	switch elapsed := now.Sub(o.sliceStart); {
+func (m *demandMeter) advance(now time.Time) {
+	switch elapsed := now.Sub(m.sliceStart); {
 	case elapsed >= 2*demandSlice:
-		o.sliceStart, o.previous, o.current = now, 0, 0
+		m.sliceStart, m.previous, m.current = now, 0, 0
 	case elapsed >= demandSlice:
-		o.sliceStart, o.previous, o.current = o.sliceStart.Add(demandSlice), o.current, 0
+		m.sliceStart, m.previous, m.current = m.sliceStart.Add(demandSlice), m.current, 0
 	}
 }
 
-// rate returns it in tokens a second.
-func (o *demandMeter) rate(now time.Time) float64 { return o.rateWithout(0, now) }
+// rate returns the demand in tokens per second.
+func (m *demandMeter) rate(now time.Time) float64 { return m.rateWithout(0, now) }
 
-// rateAfterFirst returns it without the first request, which begins the time that it is taken over.
-func (o *demandMeter) rateAfterFirst(now time.Time) float64 { return o.rateWithout(o.firstTokens, now) }
+// rateAfterFirst returns the rate without the first request, which starts the measured time.
+func (m *demandMeter) rateAfterFirst(now time.Time) float64 { return m.rateWithout(m.firstTokens, now) }
 
-func (o *demandMeter) rateWithout(without float64, now time.Time) float64 {
-	if o.firstAt.IsZero() {
+func (m *demandMeter) rateWithout(excluded float64, now time.Time) float64 {
+	if m.firstAt.IsZero() {
 		return 0
 	}
-	o.advance(now)
-	known := now.Sub(o.firstAt)
+	m.advance(now)
+	known := now.Sub(m.firstAt)
 	if known >= 2*demandSlice {
-		without = 0
+		excluded = 0
 	}
-	span := min(demandSlice+now.Sub(o.sliceStart), max(minDemandSpan, known))
-	return max(0, o.previous+o.current-without) / span.Seconds()
+	span := min(demandSlice+now.Sub(m.sliceStart), max(minDemandSpan, known))
+	return max(0, m.previous+m.current-excluded) / span.Seconds()
 }
 
-// smoothedRate is how fast something is asked for or spent, in tokens a second.
+// smoothedRate is a moving average of a rate.
 type smoothedRate struct{ perSecond float64 }
 
-// observe takes over what was seen in some time.
-func (p *smoothedRate) observe(tokens float64, elapsed time.Duration) {
-	seen := max(0, tokens) / elapsed.Seconds()
-	over := riseTime
-	if seen < p.perSecond {
-		over = fallTime
+// observe adds a sample: tokens over the elapsed time.
+func (r *smoothedRate) observe(tokens float64, elapsed time.Duration) {
+	sample := max(0, tokens) / elapsed.Seconds()
+	timeConstant := riseTime
+	if sample < r.perSecond {
+		timeConstant = fallTime
 	}
-	p.perSecond += min(1, elapsed.Seconds()/over.Seconds()) * (seen - p.perSecond)
+	r.perSecond += min(1, elapsed.Seconds()/timeConstant.Seconds()) * (sample - r.perSecond)
 }
 
-// peerActivity is what the other daemons do for one workspace, as far as they have told.
+// peerActivity is the reported activity of all other daemons for one workspace.
 type peerActivity struct {
-	// spending and asked are those of all other daemons: where a part of them is heard, the rest is taken
-	// to be asked like it.
+	// spending and demand cover all other daemons. If only some are reachable, the rest are assumed
+	// to have the same rates.
 	spending, demand smoothedRate
-	// reportedAt is when they were last heard, and measured is set once they were heard twice,
-	// so that it is known how fast they are.
+	// reportedAt is the time of the last report. measured is set once two reports have been
+	// received, so that rates are known.
 	reportedAt time.Time
 	measured   bool
-	// demandRestored is set once it is known from others how fast all were asked before.
+	// demandRestored is set once the earlier demand has been received from a snapshot or a peer.
 	demandRestored bool
-	// backlog is set when some of them are heard again: what they tell next they have spent
-	// since long.
+	// backlog is set when some peers become reachable again: their next report includes tokens
+	// spent long before.
 	backlog bool
-	// changedAt is when the set of daemons that report, or the source of the sums, last changed.
+	// changedAt is when the set of reporting daemons, or the source of the sums, last changed.
 	changedAt time.Time
 }
 
-// remeasureTime is how long it takes to measure the others' demand again after that: three rounds of
-// reports of a large deployment, and one that is lost.
+// remeasureTime is how long it takes to measure the peers' demand again after such a change: three
+// report intervals of a large deployment, and one lost report.
 const remeasureTime = 1600 * time.Millisecond
 
-// remeasuring reports whether the others' demand has not been measured again yet.
-func (o *peerActivity) remeasuring(now time.Time) bool { return now.Sub(o.changedAt) < remeasureTime }
+// remeasuring reports whether the peers' demand has yet to be measured again.
+func (p *peerActivity) remeasuring(now time.Time) bool { return now.Sub(p.changedAt) < remeasureTime }
 
-// observe takes over what the part of them that is heard has spent and refused since it was last heard.
-func (o *peerActivity) observe(spent, refused, part float64, now time.Time) {
-	elapsed := now.Sub(o.reportedAt)
-	unknown := o.reportedAt.IsZero() || o.backlog
-	o.reportedAt, o.backlog = now, false
-	if unknown || elapsed <= 0 || part <= 0 {
+// observe adds what a share of the peers has spent and refused since their last report.
+func (p *peerActivity) observe(spent, refused, share float64, now time.Time) {
+	elapsed := now.Sub(p.reportedAt)
+	unknown := p.reportedAt.IsZero() || p.backlog
+	p.reportedAt, p.backlog = now, false
+	if unknown || elapsed <= 0 || share <= 0 {
 		return
 	}
-	o.measured = true
-	o.spending.observe(spent/part, elapsed)
-	o.demand.observe((spent+refused)/part, elapsed)
+	p.measured = true
+	p.spending.observe(spent/share, elapsed)
+	p.demand.observe((spent+refused)/share, elapsed)
 }
 
-// restoreDemand takes over how fast all were asked, as others knew it.
-func (o *peerActivity) restoreDemand(asked float64) {
-	if !o.measured {
-		o.demandRestored, o.demand.perSecond = true, asked
+// restoreDemand sets the demand that was measured earlier, unless a new measurement exists.
+func (p *peerActivity) restoreDemand(demand float64) {
+	if !p.measured {
+		p.demandRestored, p.demand.perSecond = true, demand
 	}
 }
 
-// reportAge returns how long ago they were last heard, or zero if they never were.
-func (o *peerActivity) reportAge(now time.Time) time.Duration {
-	if o.reportedAt.IsZero() {
+// reportAge returns the time since the last report, or zero if there is none.
+func (p *peerActivity) reportAge(now time.Time) time.Duration {
+	if p.reportedAt.IsZero() {
 		return 0
 	}
-	return now.Sub(o.reportedAt)
+	return now.Sub(p.reportedAt)
 }
 
-// unreportedSpend returns what they are taken to have spent since they were last heard.
-func (o *peerActivity) unreportedSpend(now time.Time) float64 {
-	if o.reportedAt.IsZero() {
+// unreportedSpend returns what peers are assumed to have spent since their last report.
+func (p *peerActivity) unreportedSpend(now time.Time) float64 {
+	if p.reportedAt.IsZero() {
 		return 0
 	}
-	return o.spending.perSecond * min(maxExtrapolation, now.Sub(o.reportedAt)).Seconds()
+	return p.spending.perSecond * min(maxExtrapolation, now.Sub(p.reportedAt)).Seconds()
 }
--- a/internal/allowance/rates.go
+++ b/internal/allowance/rates.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// SetRate sets the rate of an account that no configuration names, in tokens a second, and opens
-// the account if there is none. Zero lifts the limit. An account without a limit before counts as
-// used up, since what it got is not known; it fills as its window empties.
+// SetRate sets the rate, in tokens per second, of an account that is not part of the configuration,
+// and creates the account if needed. Zero removes the limit. An account that had no limit starts
+// with a full window, because its earlier usage is unknown; tokens become available as the window
+// moves on.
 func (l *Limiter) SetRate(name string, rate float64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -21,14 +22,14 @@
 	}
 }
 
-// Remove closes an account that SetRate has opened.
+// Remove deletes an account that SetRate has created.
 func (l *Limiter) Remove(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.accounts, name)
 }
 
-// Binds reports whether all daemons together are asked for more than an account's limit.
+// Binds reports whether the demand at all daemons together exceeds an account's rate.
 func (l *Limiter) Binds(name string, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,11 +37,11 @@
 	return a != nil && a.rate > 0 && a.ownDemand.rate(now)+l.othersDemand(a, now) > a.rate
 }
 
-// fullWindow returns a window in which the limit was used evenly.
+// fullWindow returns a window in which the whole limit was used evenly.
 func (l *Limiter) fullWindow(limit float64, now time.Time) window {
 	full := newWindow(l.tolerance.Window, now)
-	for part := range slotCount {
-		full.add(limit/slotCount, now.Add(-time.Duration(part)*full.slotWidth))
+	for slot := range slotCount {
+		full.add(limit/slotCount, now.Add(-time.Duration(slot)*full.slotWidth))
 	}
 	return full
 }
--- a/internal/allowance/rates_test.go
+++ b/internal/allowance/rates_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// smallTolerance is a tolerance of a few requests, as for the limits of servers.
+// smallTolerance is a tolerance of a few requests, as used for the limits of servers.
 var smallTolerance = Tolerance{Window: 4 * time.Second, Fraction: 0.5, Tokens: 3}
 
 func TestNewRateStartsUsedUp(t *testing.T) {
@@ -24,7 +24,7 @@
 		}
 		now = now.Add(50 * time.Millisecond)
 	}
-	c.Check(sent >= 40 && sent <= 50, qt.IsTrue, qt.Commentf("%d in the first 4 s at 10 a second", sent))
+	c.Check(sent >= 40 && sent <= 50, qt.IsTrue, qt.Commentf("%d in the first 4 s at 10 per second", sent))
 }
 
 func TestRateIsLiftedAndSetAgain(t *testing.T) {
@@ -36,7 +36,7 @@
 	c.Check(l.Admit("s", 100, now).Admitted, qt.IsFalse)
 	l.SetRate("s", 0, now)
 	c.Check(l.Admit("s", 100, now).Admitted, qt.IsTrue)
-	c.Check(l.OwnCounters().Spent, qt.HasLen, 0, qt.Commentf("what is not limited is not counted"))
+	c.Check(l.OwnCounters().Spent, qt.HasLen, 0, qt.Commentf("usage without a limit is not counted"))
 	now = now.Add(time.Minute)
 	l.SetRate("s", 1, now)
 	verdict := l.Admit("s", 4, now)
@@ -65,8 +65,8 @@
 	c.Check(l.Binds("other", now), qt.IsFalse)
 }
 
-// TestDaemonsWithoutNewsShareARate guards against each daemon taking itself for the only one that
-// is asked once its news of others stop.
+// TestDaemonsWithoutNewsShareARate guards against each daemon taking itself for the only one with
+// demand once it receives no more reports.
 func TestDaemonsWithoutNewsShareARate(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/allowance/scenario_test.go
+++ b/internal/allowance/scenario_test.go
@@ -9,22 +9,22 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// testTolerance is the tolerance of today's users.
+// testTolerance is the tolerance that current users have.
 var testTolerance = Tolerance{Window: 8 * time.Second, Fraction: 0.1, Tokens: 72_000}
 
-// usualDemand is what a workspace asks for, as a share of its allowance's rate: users allow
-// theirs 1.8 times what they ask for on average.
+// usualDemand is the average demand of a workspace as a share of its allowance's rate. Users set
+// allowances to 1.8 times the average demand.
 const usualDemand = 0.55
 
-// scenario makes a history of one kind of trouble. hot is when the workspace jumps to x
-// times its allowance's rate, for 8 s.
+// scenario describes a simulation with a jump in demand and faults. At jumpAt, demand rises to
+// jumpFactor times the allowance's rate for 8 s.
 type scenario struct {
 	jumpAt     time.Duration
 	jumpFactor float64
 	faults     []fault
 }
 
-// randMs returns a time by chance between two bounds, in whole ticks.
+// randMs returns a random duration between two bounds in milliseconds, truncated to whole ticks.
 func randMs(r *rand.Rand, from, to int) time.Duration {
 	return (time.Duration(from+r.IntN(to-from)) * time.Millisecond).Truncate(simulationTick)
 }
@@ -44,8 +44,8 @@
 
 func allDie(at, down time.Duration) fault { return fault{at: at, until: at + down, deadShare: 1} }
 
-// runScenarios plays a kind of history on several seeds and sizes, and returns the worst window
-// and the mean share of first tries that were refused within the allowance.
+// runScenarios simulates scenarios with several seeds, deployment sizes and rates. It passes check
+// the worst window and the mean share of first attempts that were refused within the allowance.
 func runScenarios(t *testing.T, seeds int, draw func(r *rand.Rand) scenario, check func(c *qt.C, name string, worst, refused float64)) {
 	for _, daemons := range []int{8, 77, 300} {
 		for _, rate := range []float64{18_000, 750_000} {
@@ -62,21 +62,21 @@
 					}
 					refused += o.refusedWithin / o.offered / float64(seeds)
 				}
-				t.Logf("worst window %.3f of what the rule allows; %.4f refused within the allowance", worst, refused)
+				t.Logf("worst window %.3f of the bound; %.4f refused within the allowance", worst, refused)
 				check(c, name, worst, refused)
 			})
 		}
 	}
 }
 
-// checkLimitKept checks that no window got more than the rule allows.
+// checkLimitKept checks that no window exceeds the bound.
 func checkLimitKept(c *qt.C, name string, worst, _ float64) {
-	c.Check(worst <= 1, qt.IsTrue, qt.Commentf("%s: %.3f of what the rule allows", name, worst))
+	c.Check(worst <= 1, qt.IsTrue, qt.Commentf("%s: %.3f of the bound", name, worst))
 }
 
-// TestNothingWithinTheAllowanceIsRefused: on a calm day, also when it asks for a third
-// more than usual. Buckets that filled at the allowance's rate refused 0.16 to 0.45 of it
-// with 77 and 300 daemons.
+// TestNothingWithinTheAllowanceIsRefused guards against refusals within the allowance when there
+// are no faults, also when demand is a third above usual. Token buckets that fill at the
+// allowance's rate refused 0.16 to 0.45 of it with 77 and 300 daemons.
 func TestNothingWithinTheAllowanceIsRefused(t *testing.T) {
 	calm := func(r *rand.Rand) scenario { return scenario{jumpAt: randMs(r, 9000, 18_000), jumpFactor: 0.7} }
 	runScenarios(t, 4, calm, func(c *qt.C, name string, worst, refused float64) {
@@ -85,27 +85,29 @@
 	})
 }
 
-// TestJumpsStayWithin: a workspace suddenly asks for three to seven times its allowance.
+// TestJumpsStayWithin guards against exceeding the bound when demand suddenly rises to three to
+// seven times the allowance.
 func TestJumpsStayWithin(t *testing.T) {
 	runScenarios(t, 6, func(r *rand.Rand) scenario {
 		return scenario{jumpAt: randMs(r, 9000, 18_000), jumpFactor: 3 + 4*r.Float64()}
 	}, checkLimitKept)
 }
 
-// TestDeathOfAllRefusesLittle: a workspace that asks for its usual is served on.
+// TestDeathOfAllRefusesLittle guards against refusing a workspace with its usual demand after all
+// daemons restart.
 func TestDeathOfAllRefusesLittle(t *testing.T) {
 	death := func(r *rand.Rand) scenario {
 		return scenario{faults: []fault{allDie(randMs(r, 9000, 16_000), 1500*time.Millisecond)}}
 	}
 	runScenarios(t, 4, death, func(c *qt.C, name string, worst, refused float64) {
 		checkLimitKept(c, name, worst, refused)
-		// Of 32 s; the window before the death was up to 1.9 s long when it was written.
+		// The simulation lasts 32 s. The snapshot is up to 1.9 s old when it is restored.
 		c.Check(refused < 0.12, qt.IsTrue, qt.Commentf("%s: %.4f", name, refused))
 	})
 }
 
-// TestDeathOfHalfRefusesLittle, too. Those that are left count on their part, and where the
-// lead of a zone is among the dead, on less until another leads.
+// TestDeathOfHalfRefusesLittle guards against refusing much after half of the daemons die. The
+// survivors use their share of the allowance, and less than that while a zone has no lead.
 func TestDeathOfHalfRefusesLittle(t *testing.T) {
 	half := func(r *rand.Rand) scenario {
 		at := randMs(r, 9000, 16_000)
@@ -117,45 +119,48 @@
 	})
 }
 
-// TestDeathOfAllWhileAWorkspaceIsHot: by then the record tells so.
+// TestDeathOfAllWhileAWorkspaceIsHot guards against exceeding the bound when all daemons die after
+// a jump in demand that the snapshot already contains.
 func TestDeathOfAllWhileAWorkspaceIsHot(t *testing.T) {
 	runScenarios(t, 6, func(r *rand.Rand) scenario {
-		hot := randMs(r, 9000, 14_000)
-		at := hot + randMs(r, 1500, 6000)
-		return scenario{jumpAt: hot, jumpFactor: 3 + 1.5*r.Float64(), faults: []fault{allDie(at, randMs(r, 300, 2000))}}
+		jumpAt := randMs(r, 9000, 14_000)
+		at := jumpAt + randMs(r, 1500, 6000)
+		return scenario{jumpAt: jumpAt, jumpFactor: 3 + 1.5*r.Float64(), faults: []fault{allDie(at, randMs(r, 300, 2000))}}
 	}, checkLimitKept)
 }
 
-// TestJumpJustBeforeTheDeathOfAll: what was used in the last 0.5 to 1.3 s is known to
-// nobody any more.
+// TestJumpJustBeforeTheDeathOfAll guards against exceeding the bound when demand jumps just before
+// all daemons die: no record exists of what was used in the last 0.5 to 1.3 s.
 func TestJumpJustBeforeTheDeathOfAll(t *testing.T) {
 	runScenarios(t, 8, func(r *rand.Rand) scenario {
-		hot := randMs(r, 9000, 14_000)
-		return scenario{jumpAt: hot, jumpFactor: 3 + 1.5*r.Float64(), faults: []fault{allDie(hot+randMs(r, 0, 1500), randMs(r, 300, 2000))}}
+		jumpAt := randMs(r, 9000, 14_000)
+		return scenario{jumpAt: jumpAt, jumpFactor: 3 + 1.5*r.Float64(), faults: []fault{allDie(jumpAt+randMs(r, 0, 1500), randMs(r, 300, 2000))}}
 	}, checkLimitKept)
 }
 
-// TestTwoDeathsWithinAWindow: the second while the first one's window is not over.
+// TestTwoDeathsWithinAWindow guards against exceeding the bound when all daemons die again within a
+// window of their first death.
 func TestTwoDeathsWithinAWindow(t *testing.T) {
 	runScenarios(t, 6, func(r *rand.Rand) scenario {
-		hot := randMs(r, 9000, 12_000)
-		first := hot + randMs(r, 1500, 4000)
+		jumpAt := randMs(r, 9000, 12_000)
+		first := jumpAt + randMs(r, 1500, 4000)
 		second := first + 500*time.Millisecond + randMs(r, 1000, 6000)
-		return scenario{jumpAt: hot, jumpFactor: 3 + 1.5*r.Float64(), faults: []fault{allDie(first, 500*time.Millisecond), allDie(second, 500*time.Millisecond)}}
+		return scenario{jumpAt: jumpAt, jumpFactor: 3 + 1.5*r.Float64(), faults: []fault{allDie(first, 500*time.Millisecond), allDie(second, 500*time.Millisecond)}}
 	}, checkLimitKept)
 }
 
-// TestZoneCutWhileAWorkspaceIsHot: it begins before, with or after the jump.
+// TestZoneCutWhileAWorkspaceIsHot guards against exceeding the bound when a zone is partitioned
+// before, during or after a jump in demand.
 func TestZoneCutWhileAWorkspaceIsHot(t *testing.T) {
 	runScenarios(t, 6, func(r *rand.Rand) scenario {
-		hot := randMs(r, 11_000, 14_000)
-		at := hot + randMs(r, 0, 4000) - 2*time.Second
-		return scenario{jumpAt: hot, jumpFactor: 3 + 1.5*r.Float64(), faults: []fault{{at: at, until: at + 5*time.Second, partition: true, zone: 1}}}
+		jumpAt := randMs(r, 11_000, 14_000)
+		at := jumpAt + randMs(r, 0, 4000) - 2*time.Second
+		return scenario{jumpAt: jumpAt, jumpFactor: 3 + 1.5*r.Float64(), faults: []fault{{at: at, until: at + 5*time.Second, partition: true, zone: 1}}}
 	}, checkLimitKept)
 }
 
-// TestCutOfAZoneRefusesLittle: neither while it lasts nor after it a workspace that asks for
-// its usual is refused much.
+// TestCutOfAZoneRefusesLittle guards against refusing a workspace with its usual demand during and
+// after a partition.
 func TestCutOfAZoneRefusesLittle(t *testing.T) {
 	cut := func(r *rand.Rand) scenario {
 		at := randMs(r, 9000, 14_000)
@@ -167,79 +172,82 @@
 	})
 }
 
-// TestRecordThatCannotBeRead: daemons that all start know nothing of before.
+// TestRecordThatCannotBeRead guards against exceeding the bound when all daemons restart and cannot
+// read the snapshot.
 func TestRecordThatCannotBeRead(t *testing.T) {
 	runScenarios(t, 4, func(r *rand.Rand) scenario {
-		hot := randMs(r, 9000, 14_000)
-		death := allDie(hot+randMs(r, 0, 4000), time.Second)
+		jumpAt := randMs(r, 9000, 14_000)
+		death := allDie(jumpAt+randMs(r, 0, 4000), time.Second)
 		death.snapshotUnreadable = true
-		return scenario{jumpAt: hot, jumpFactor: 3 + 1.5*r.Float64(), faults: []fault{death}}
+		return scenario{jumpAt: jumpAt, jumpFactor: 3 + 1.5*r.Float64(), faults: []fault{death}}
 	}, checkLimitKept)
 }
 
-// TestRecordThatIsReadLate: what daemons use until then is little.
+// TestRecordThatIsReadLate guards against using too much before a restarted daemon has read the
+// snapshot.
 func TestRecordThatIsReadLate(t *testing.T) {
 	runScenarios(t, 4, func(r *rand.Rand) scenario {
-		hot := randMs(r, 9000, 14_000)
-		death := allDie(hot+randMs(r, 0, 4000), time.Second)
+		jumpAt := randMs(r, 9000, 14_000)
+		death := allDie(jumpAt+randMs(r, 0, 4000), time.Second)
 		death.snapshotDelay = randMs(r, 200, 2500)
-		return scenario{jumpAt: hot, jumpFactor: 3 + 1.5*r.Float64(), faults: []fault{death}}
+		return scenario{jumpAt: jumpAt, jumpFactor: 3 + 1.5*r.Float64(), faults: []fault{death}}
 	}, checkLimitKept)
 }
 
-// TestAllDieWhileTheStoreIsAway: nobody can write down what was used, a workspace becomes hot, and
-// all daemons die. Starts reckon with the rate of before, for as long as the record is old, and one
-// burst. The soak showed it: seed 380042, the store down and cut off by turns, all daemons killed,
-// 1.17 of what the rule allows.
+// TestAllDieWhileTheStoreIsAway guards against an outage of the store that is followed by a jump in
+// demand and the death of all daemons. The snapshot is then old, and daemons that start count the
+// rate before the jump for its whole age, and one burst. A soak test with the store alternately
+// stopped and partitioned reached 1.17 of the bound (seed 380042).
 func TestAllDieWhileTheStoreIsAway(t *testing.T) {
 	runScenarios(t, 4, func(r *rand.Rand) scenario {
-		away := randMs(r, 9000, 12_000)
-		hot := away + randMs(r, 500, 1500)
-		death := hot + randMs(r, 2000, 3000)
-		return scenario{jumpAt: hot, jumpFactor: 3 + 1.5*r.Float64(), faults: []fault{
-			{at: away, until: death + 500*time.Millisecond, storeDown: true}, allDie(death, 500*time.Millisecond),
+		storeDownAt := randMs(r, 9000, 12_000)
+		jumpAt := storeDownAt + randMs(r, 500, 1500)
+		death := jumpAt + randMs(r, 2000, 3000)
+		return scenario{jumpAt: jumpAt, jumpFactor: 3 + 1.5*r.Float64(), faults: []fault{
+			{at: storeDownAt, until: death + 500*time.Millisecond, storeDown: true}, allDie(death, 500*time.Millisecond),
 		}}
 	}, checkLimitKept)
 }
 
-// TestMistakesShow: histories break the rule when daemons do not count what others have
-// used, when they forget at their start what was used before, and when those on both sides
-// of a cut take themselves for all.
+// TestMistakesShow checks that the simulation detects mistakes: daemons that ignore the usage of
+// peers, that start as if nothing had been used, or that count all daemons as reachable during a
+// partition exceed the bound.
 func TestMistakesShow(t *testing.T) {
 	deaths := []fault{allDie(12*time.Second, 500*time.Millisecond), allDie(15*time.Second, 500*time.Millisecond)}
 	cut := []fault{{at: 10 * time.Second, until: 22 * time.Second, partition: true, zone: 1}}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name    string
 		mistake func(h *simulation)
-		events  []fault
+		faults  []fault
 	}{
 		{"others are not counted", func(h *simulation) { h.ignorePeers = true }, nil},
 		{"starts forget", func(h *simulation) { h.forgetUsage = true }, deaths},
 		{"sides of a cut are whole", func(h *simulation) { h.ignorePartition = true }, cut},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
 			right, wrong := 0.0, 0.0
 			for seed := range uint64(4) {
-				h := scenario{jumpAt: 9 * time.Second, jumpFactor: 4, faults: one.events}.simulation(seed, 8, 750_000)
+				h := scenario{jumpAt: 9 * time.Second, jumpFactor: 4, faults: test.faults}.simulation(seed, 8, 750_000)
 				right = max(right, h.run().worstWindow)
-				one.mistake(&h)
+				test.mistake(&h)
 				wrong = max(wrong, h.run().worstWindow)
 			}
-			c.Check(right <= 1, qt.IsTrue, qt.Commentf("%.3f of what the rule allows", right))
-			c.Check(wrong > 1, qt.IsTrue, qt.Commentf("%.3f of what the rule allows", wrong))
+			c.Check(right <= 1, qt.IsTrue, qt.Commentf("%.3f of the bound", right))
+			c.Check(wrong > 1, qt.IsTrue, qt.Commentf("%.3f of the bound", wrong))
 		})
 	}
 }
 
-// TestDeathOfMostAsACutEnds guards against what the other side of a cut has used being told by nobody.
+// TestDeathOfMostAsACutEnds guards against usage on the other side of a partition that is never
+// reported, because most daemons die as the partition ends.
 func TestDeathOfMostAsACutEnds(t *testing.T) {
 	runScenarios(t, 60, func(r *rand.Rand) scenario {
-		hot := randMs(r, 14_000, 18_000)
-		dies := hot + randMs(r, 2_000, 4_500)
-		return scenario{jumpAt: hot, jumpFactor: 3 + 4*r.Float64(), faults: []fault{
-			{at: hot - randMs(r, 5_000, 8_000), until: dies + randMs(r, 0, 1_500), partition: true, zone: r.IntN(4)},
+		jumpAt := randMs(r, 14_000, 18_000)
+		dies := jumpAt + randMs(r, 2_000, 4_500)
+		return scenario{jumpAt: jumpAt, jumpFactor: 3 + 4*r.Float64(), faults: []fault{
+			{at: jumpAt - randMs(r, 5_000, 8_000), until: dies + randMs(r, 0, 1_500), partition: true, zone: r.IntN(4)},
 			{at: dies, until: dies + time.Second, deadShare: 0.6},
 		}}
 	}, checkLimitKept)
--- a/internal/allowance/simulation_test.go
+++ b/internal/allowance/simulation_test.go
@@ -18,21 +18,22 @@
 
 const (
 	simulationTick = 10 * time.Millisecond
-	// reportBeforeDigest is how much earlier than its lead's digest a daemon reports.
+	// reportBeforeDigest is how long before its lead's digest a daemon sends its report.
 	reportBeforeDigest = 50 * time.Millisecond
-	// freshFor is how long a silent daemon, or zone, counts as heard.
+	// freshFor is how long a silent daemon or zone counts as reachable.
 	freshFor = 1500 * time.Millisecond
-	// maxApplyDelay is the time within which daemons learn of a changed allowance.
+	// maxApplyDelay is the longest time until a daemon applies a changed allowance.
 	maxApplyDelay = 3 * time.Second
-	// leaseTakeover is how long after a death of all a new holder of the lease writes the uses.
+	// leaseTakeover is how long after the death of all daemons a new lease holder writes a
+	// snapshot.
 	leaseTakeover = 500 * time.Millisecond
-	// keptReports is the number of own reports that a daemon remembers.
+	// keptReports is the number of its own reports that a daemon keeps.
 	keptReports = 16
 )
 
-// simulation is a deployment of daemons in zones that are asked for the tokens of one
-// workspace. Daemons report to the lead of their zone, and leads tell their zone what
-// they know of all, each round; so what is known of another zone is up to two rounds old.
+// simulation simulates daemons in several zones that serve the requests of one workspace. In each
+// report interval, daemons report to the lead of their zone, and leads send the totals they know to
+// their zone. What is known about another zone is therefore up to two intervals old.
 type simulation struct {
 	seed       uint64
 	daemons    int
@@ -42,48 +43,48 @@
 	tolerance  Tolerance
 	meanTokens float64
 	demand     func(at time.Duration) float64
-	// loweredAt is when the allowance changes to loweredRate, as each daemon learns within
-	// maxApplyDelay. It is zero for an allowance that stays.
+	// loweredAt is when the allowance changes to loweredRate. Each daemon applies it within
+	// maxApplyDelay. Zero means that the allowance does not change.
 	loweredAt   time.Duration
 	loweredRate float64
-	// requestSize draws the tokens of a request in place of tokens.
+	// requestSize, if set, draws the tokens of a request in place of meanTokens.
 	requestSize func(r *rand.Rand) float64
 	digestLoss  float64
 	faults      []fault
-	// ignorePeers makes daemons count nothing of others, forget makes them start as if nothing
-	// had been used, and whole makes them take themselves for all in a cut: mistakes that
-	// have to show.
+	// These are deliberate mistakes that must be detected. ignorePeers makes daemons count nothing
+	// that peers report, forgetUsage makes them start as if nothing had been used, and
+	// ignorePartition makes them count all daemons as reachable.
 	ignorePeers, forgetUsage, ignorePartition bool
 }
 
-// fault is a trouble of the deployment.
+// fault is a fault injected into the simulation from at to until.
 type fault struct {
 	at, until time.Duration
-	// deadShare is the share of the daemons that is dead meanwhile and starts anew at the end.
+	// deadShare is the share of the daemons that die at the start and restart at the end.
 	deadShare float64
-	// partition is set for a zone that neither hears others nor is heard.
+	// partition is set if zone is cut off from the other zones.
 	partition bool
 	zone      int
-	// suspendedShare is the share of the daemons that stand still meanwhile and go on then, with their
-	// clocks where still is set.
+	// suspendedShare is the share of the daemons that are suspended. If clockStops is set, their
+	// clocks stop meanwhile.
 	suspendedShare float64
 	clockStops     bool
-	// storeDown is set for a store that is away: the uses are not written down meanwhile.
+	// storeDown is set if the store is unavailable, so that no snapshot is written.
 	storeDown bool
-	// snapshotUnreadable is set when daemons that start cannot read what was recorded, and late when
-	// they read it so much later.
+	// snapshotUnreadable is set if restarting daemons cannot read the snapshot. snapshotDelay is
+	// how long after the restart they read it.
 	snapshotUnreadable bool
 	snapshotDelay      time.Duration
 }
 
-// outcome is what callers got.
+// outcome is the result of a simulation.
 type outcome struct {
-	// worstWindow is the most that a window got, as a share of what the rule allows.
+	// worstWindow is the largest usage of any window, as a share of the bound.
 	worstWindow float64
-	// offered and within are the tokens of first tries, and of those that were refused
-	// though all that had been admitted in the window left room for them.
+	// offered is the number of tokens of first attempts. refusedWithin is the part of them that was
+	// refused although the window had room for them.
 	offered, refusedWithin float64
-	// meanAdmitted is the mean of a second, as a share of the allowance's rate.
+	// meanAdmitted is the mean usage per second, as a share of the allowance's rate.
 	meanAdmitted float64
 }
 
@@ -95,23 +96,25 @@
 	started     time.Duration
 	vm          string
 	incarnation uint64
-	// sums are what this process has heard as a relay, and memberReportedAt when it heard each daemon of its zone.
+	// sums holds the reports that this process has received as a relay. memberReportedAt is when
+	// each daemon of its zone last reported.
 	sums             *rollup.Aggregator
 	memberReportedAt map[int]time.Duration
-	// sequence numbers its reports, and sent are the last of them.
+	// sequence numbers its reports, and sent holds the last of them.
 	sequence uint64
 	sent     map[uint64]Counters
 	lead     leadState
-	// appliesAt is when it learns of a changed allowance.
+	// appliesAt is when it applies the lowered allowance.
 	appliesAt time.Duration
-	// suspended is set while the daemon is suspended; lag is how far its clock is behind.
+	// suspended is set while the daemon is suspended. clockLag is how far its clock is behind.
 	suspended bool
 	clockLag  time.Duration
 	// stoppedAt is when it last died or was suspended.
 	stoppedAt time.Duration
 }
 
-// leadState is what a daemon has heard last of its lead, or of itself where it makes its own sums.
+// leadState is the last digest that a daemon received from its lead, or names the daemon itself if
+// it uses its own sums.
 type leadState struct {
 	vm               string
 	incarnation      uint64
@@ -125,193 +128,194 @@
 	random         *rand.Rand
 	reportInterval time.Duration
 	fleet          []*daemon
-	// digestPhases are when the leads of the zones tell, within a round.
+	// digestPhases are the offsets within a report interval at which the leads of the zones send
+	// digests.
 	digestPhases   []time.Duration
 	now            time.Duration
 	admittedByTick []float64
 	totalAdmitted  float64
 	limit          float64
 	snapshotUsage  map[string]Usage
-	// snapshotDemand is how fast all were asked then.
+	// snapshotDemand is the demand that was recorded with the snapshot.
 	snapshotDemand map[string]float64
 	snapshotAt     time.Duration
 	retries        map[time.Duration][]float64
 	outcome        outcome
 }
 
-func (h simulation) run() outcome {
-	p := &simulator{simulation: h, random: rand.New(rand.NewPCG(h.seed, uint64(h.daemons))), retries: map[time.Duration][]float64{}}
-	p.reportInterval = min(400*time.Millisecond, max(150*time.Millisecond, time.Duration(h.daemons)*5*time.Millisecond))
-	p.reportInterval = p.reportInterval.Truncate(simulationTick)
-	p.limit = h.rate * (h.tolerance.Window.Seconds() + 1)
-	for range h.zones {
-		p.digestPhases = append(p.digestPhases, time.Duration(p.random.Int64N(int64(p.reportInterval/simulationTick)))*simulationTick)
-	}
-	for i := range h.daemons {
-		d := &daemon{index: i, zone: i % h.zones, vm: fmt.Sprintf("vm-%03d", i), appliesAt: h.loweredAt}
-		if h.loweredAt > 0 {
-			d.appliesAt += time.Duration(p.random.Int64N(int64(maxApplyDelay/simulationTick))) * simulationTick
+func (sim simulation) run() outcome {
+	s := &simulator{simulation: sim, random: rand.New(rand.NewPCG(sim.seed, uint64(sim.daemons))), retries: map[time.Duration][]float64{}}
+	s.reportInterval = min(400*time.Millisecond, max(150*time.Millisecond, time.Duration(sim.daemons)*5*time.Millisecond))
+	s.reportInterval = s.reportInterval.Truncate(simulationTick)
+	s.limit = sim.rate * (sim.tolerance.Window.Seconds() + 1)
+	for range sim.zones {
+		s.digestPhases = append(s.digestPhases, time.Duration(s.random.Int64N(int64(s.reportInterval/simulationTick)))*simulationTick)
+	}
+	for i := range sim.daemons {
+		d := &daemon{index: i, zone: i % sim.zones, vm: fmt.Sprintf("vm-%03d", i), appliesAt: sim.loweredAt}
+		if sim.loweredAt > 0 {
+			d.appliesAt += time.Duration(s.random.Int64N(int64(maxApplyDelay/simulationTick))) * simulationTick
 		}
-		p.fleet = append(p.fleet, d)
-		p.startDaemon(d, true)
-		// They have been running for long.
+		s.fleet = append(s.fleet, d)
+		s.startDaemon(d, true)
+		// The initial daemons have been running for an hour.
 		d.started = -time.Hour
 		d.limiter.started = d.limiter.started.Add(-time.Hour)
 	}
-	for p.now = 0; p.now < h.duration; p.now += simulationTick {
-		p.step()
+	for s.now = 0; s.now < sim.duration; s.now += simulationTick {
+		s.step()
 	}
-	p.outcome.meanAdmitted = p.totalAdmitted / h.duration.Seconds() / h.rate
-	return p.outcome
+	s.outcome.meanAdmitted = s.totalAdmitted / sim.duration.Seconds() / sim.rate
+	return s.outcome
 }
 
-func (p *simulator) time() time.Time { return start.Add(time.Hour + p.now) }
+func (s *simulator) time() time.Time { return start.Add(time.Hour + s.now) }
 
-// clock returns what a daemon takes for the time.
-func (p *simulator) clock(d *daemon) time.Time { return p.time().Add(-d.clockLag) }
+// clock returns a daemon's local time.
+func (s *simulator) clock(d *daemon) time.Time { return s.time().Add(-d.clockLag) }
 
-// startDaemon starts a process of a daemon.
-func (p *simulator) startDaemon(d *daemon, readable bool) {
+// startDaemon starts a new process of a daemon.
+func (s *simulator) startDaemon(d *daemon, readable bool) {
 	d.incarnation++
-	d.alive, d.started, d.lead = true, p.now, leadState{}
+	d.alive, d.started, d.lead = true, s.now, leadState{}
 	d.sums, d.memberReportedAt = rollup.New(), map[int]time.Duration{}
 	d.sequence, d.sent = 0, map[uint64]Counters{}
-	d.limiter = NewLimiter(p.tolerance, p.time(), p.random.Float64)
+	d.limiter = NewLimiter(s.tolerance, s.time(), s.random.Float64)
 	switch {
-	case p.forgetUsage:
-		d.limiter.Restore(Snapshot{}, p.time())
+	case s.forgetUsage:
+		d.limiter.Restore(Snapshot{}, s.time())
 	case readable:
-		d.limiter.Restore(Snapshot{Usage: p.snapshotUsage, Demand: p.snapshotDemand, Age: p.now - p.snapshotAt}, p.time())
+		d.limiter.Restore(Snapshot{Usage: s.snapshotUsage, Demand: s.snapshotDemand, Age: s.now - s.snapshotAt}, s.time())
 	}
-	d.limiter.ApplyCatalog(p.catalogOf(d), p.time())
+	d.limiter.ApplyCatalog(s.catalogOf(d), s.time())
 	if readable {
-		d.limiter.SetReachable(1, p.daemons, p.time())
+		d.limiter.SetReachable(1, s.daemons, s.time())
 	}
 }
 
-// catalogOf returns the configuration that a daemon goes by.
-func (p *simulator) catalogOf(d *daemon) *catalog.Catalog {
-	if p.loweredAt > 0 && p.now >= d.appliesAt {
-		return testCatalog(p.loweredRate, p.loweredRate)
+// catalogOf returns the configuration that a daemon currently uses.
+func (s *simulator) catalogOf(d *daemon) *catalog.Catalog {
+	if s.loweredAt > 0 && s.now >= d.appliesAt {
+		return testCatalog(s.loweredRate, s.loweredRate)
 	}
-	return testCatalog(p.rate, p.rate)
+	return testCatalog(s.rate, s.rate)
 }
 
-// applyLowered lets daemons learn of a changed allowance.
-func (p *simulator) applyLowered() {
-	for _, d := range p.fleet {
-		if p.loweredAt > 0 && p.now == d.appliesAt && d.alive {
-			d.limiter.ApplyCatalog(p.catalogOf(d), p.clock(d))
+// applyLowered makes daemons apply the lowered allowance when it is due.
+func (s *simulator) applyLowered() {
+	for _, d := range s.fleet {
+		if s.loweredAt > 0 && s.now == d.appliesAt && d.alive {
+			d.limiter.ApplyCatalog(s.catalogOf(d), s.clock(d))
 		}
 	}
-	if p.loweredAt > 0 && p.now == p.loweredAt+maxApplyDelay {
-		p.limit = p.loweredRate * (p.tolerance.Window.Seconds() + 1)
+	if s.loweredAt > 0 && s.now == s.loweredAt+maxApplyDelay {
+		s.limit = s.loweredRate * (s.tolerance.Window.Seconds() + 1)
 	}
 }
 
-func (p *simulator) step() {
-	for _, e := range p.faults {
-		p.applyFault(e)
+func (s *simulator) step() {
+	for _, f := range s.faults {
+		s.applyFault(f)
 	}
-	p.applyLowered()
-	for zone, phase := range p.digestPhases {
-		if (p.now+reportBeforeDigest+p.reportInterval-phase)%p.reportInterval == 0 {
-			p.sendReports(zone)
+	s.applyLowered()
+	for zone, phase := range s.digestPhases {
+		if (s.now+reportBeforeDigest+s.reportInterval-phase)%s.reportInterval == 0 {
+			s.sendReports(zone)
 		}
-		if (p.now+p.reportInterval-phase)%p.reportInterval == 0 {
-			p.sendDigest(zone)
+		if (s.now+s.reportInterval-phase)%s.reportInterval == 0 {
+			s.sendDigest(zone)
 		}
 	}
-	if p.now%time.Second == 0 {
-		p.checkLeads()
+	if s.now%time.Second == 0 {
+		s.checkLeads()
 	}
-	if p.now%(500*time.Millisecond) == 0 {
-		p.writeSnapshot()
+	if s.now%(500*time.Millisecond) == 0 {
+		s.writeSnapshot()
 	}
-	p.sendRequests()
+	s.sendRequests()
 }
 
-func (p *simulator) applyFault(e fault) {
-	p.suspend(e)
-	if e.deadShare == 0 {
+func (s *simulator) applyFault(f fault) {
+	s.suspend(f)
+	if f.deadShare == 0 {
 		return
 	}
-	dying := int(math.Ceil(e.deadShare * float64(p.daemons)))
-	for i, d := range p.fleet {
-		if (i*7)%p.daemons >= dying {
+	count := int(math.Ceil(f.deadShare * float64(s.daemons)))
+	for i, d := range s.fleet {
+		if (i*7)%s.daemons >= count {
 			continue
 		}
 		switch {
-		case p.now == e.at && d.alive:
-			d.alive, d.stoppedAt = false, p.now
-		case p.now == e.until && !d.alive:
-			p.startDaemon(d, !e.snapshotUnreadable && e.snapshotDelay == 0)
-		case e.snapshotDelay > 0 && p.now == e.until+e.snapshotDelay && d.alive:
-			d.limiter.Restore(Snapshot{Usage: p.snapshotUsage, Demand: p.snapshotDemand, Age: d.started - p.snapshotAt}, p.time())
+		case s.now == f.at && d.alive:
+			d.alive, d.stoppedAt = false, s.now
+		case s.now == f.until && !d.alive:
+			s.startDaemon(d, !f.snapshotUnreadable && f.snapshotDelay == 0)
+		case f.snapshotDelay > 0 && s.now == f.until+f.snapshotDelay && d.alive:
+			d.limiter.Restore(Snapshot{Usage: s.snapshotUsage, Demand: s.snapshotDemand, Age: d.started - s.snapshotAt}, s.time())
 		}
 	}
 }
 
-// suspend lets some daemons stand still for the time of an event.
-func (p *simulator) suspend(e fault) {
-	if e.suspendedShare == 0 {
+// suspend suspends and resumes daemons as the fault requires.
+func (s *simulator) suspend(f fault) {
+	if f.suspendedShare == 0 {
 		return
 	}
-	standing := int(math.Ceil(e.suspendedShare * float64(p.daemons)))
-	for i, d := range p.fleet {
-		if (i*7)%p.daemons >= standing {
+	count := int(math.Ceil(f.suspendedShare * float64(s.daemons)))
+	for i, d := range s.fleet {
+		if (i*7)%s.daemons >= count {
 			continue
 		}
-		wasAway := d.suspended
-		d.suspended = p.now >= e.at && p.now < e.until
-		if d.suspended && !wasAway {
-			d.stoppedAt = p.now
+		wasSuspended := d.suspended
+		d.suspended = s.now >= f.at && s.now < f.until
+		if d.suspended && !wasSuspended {
+			d.stoppedAt = s.now
 		}
-		if d.suspended && e.clockStops {
+		if d.suspended && f.clockStops {
 			d.clockLag += simulationTick
 		}
-		if wasAway && p.now == e.until && e.until-e.at >= StallThreshold {
-			d.limiter.ResumeAfterStall(p.clock(d))
+		if wasSuspended && s.now == f.until && f.until-f.at >= StallThreshold {
+			d.limiter.ResumeAfterStall(s.clock(d))
 		}
 	}
 }
 
-// running reports whether a daemon does anything now.
+// running reports whether a daemon is alive and not suspended.
 func (d *daemon) running() bool { return d.alive && !d.suspended }
 
-// relays returns the daemons of a zone that its daemons take for relays, the lead first: one that is gone
-// counts until it has been silent for a while.
-func (p *simulator) relays(zone int) []*daemon {
+// relays returns the daemons that a zone's daemons use as relays, the lead first. A stopped relay
+// is included until it has been silent for freshFor.
+func (s *simulator) relays(zone int) []*daemon {
 	var relays []*daemon
-	for _, d := range p.fleet {
-		if d.zone == zone && (d.running() || p.now-d.stoppedAt < freshFor) && len(relays) < 2 {
+	for _, d := range s.fleet {
+		if d.zone == zone && (d.running() || s.now-d.stoppedAt < freshFor) && len(relays) < 2 {
 			relays = append(relays, d)
 		}
 	}
 	return relays
 }
 
-// sendReports lets the daemons of a zone tell its relays what they have used.
-func (p *simulator) sendReports(zone int) {
-	for _, d := range p.fleet {
-		if d.zone != zone || !d.running() || p.now == d.started {
+// sendReports sends the reports of a zone's daemons to its relays.
+func (s *simulator) sendReports(zone int) {
+	for _, d := range s.fleet {
+		if d.zone != zone || !d.running() || s.now == d.started {
 			continue
 		}
-		own := p.nextReport(d)
-		for _, relay := range p.relays(zone) {
+		own := s.nextReport(d)
+		for _, relay := range s.relays(zone) {
 			if relay == d || !relay.running() {
 				continue
 			}
-			relay.memberReportedAt[d.index] = p.now
+			relay.memberReportedAt[d.index] = s.now
 			relay.sums.AddReport(rollup.Report{
-				VM: d.vm, Incarnation: d.incarnation, Sequence: d.sequence, JustStarted: p.now-d.started < settleTimeout, Counts: own,
-			}, p.time())
+				VM: d.vm, Incarnation: d.incarnation, Sequence: d.sequence, JustStarted: s.now-d.started < settleTimeout, Counts: own,
+			}, s.time())
 		}
 	}
 }
 
-// nextReport returns what a daemon has used, as its next report tells it.
-func (p *simulator) nextReport(d *daemon) rollup.Counts {
+// nextReport returns a daemon's counts for its next report.
+func (s *simulator) nextReport(d *daemon) rollup.Counts {
 	d.sequence++
 	own := d.limiter.OwnCounters()
 	d.sent[d.sequence] = own
@@ -321,196 +325,198 @@
 	return counts
 }
 
-// sendDigest lets the lead of a zone tell other zones what its zone has used, and its zone what all have.
-func (p *simulator) sendDigest(zone int) {
-	relays := p.relays(zone)
+// sendDigest makes the lead of a zone send its zone's counts to the other zones, and the totals of
+// all zones to its zone.
+func (s *simulator) sendDigest(zone int) {
+	relays := s.relays(zone)
 	if len(relays) == 0 || !relays[0].running() {
 		return
 	}
 	lead := relays[0]
-	p.nextReport(lead)
-	for other := range p.digestPhases {
-		if other != zone && !p.partitioned(zone, other) {
-			p.sendSummary(lead, p.relays(other))
+	s.nextReport(lead)
+	for other := range s.digestPhases {
+		if other != zone && !s.partitioned(zone, other) {
+			s.sendSummary(lead, s.relays(other))
 		}
 	}
-	reach, behind := p.useOwnSums(lead)
-	sums := lead.sums.All(p.time())
-	uses, known := lead.limiter.Usage(p.clock(lead))
-	asked := lead.limiter.Demand(p.clock(lead))
-	for _, d := range p.fleet {
-		if d.zone != zone || !d.running() || d == lead || p.random.Float64() < p.digestLoss {
+	reachable, age := s.useOwnSums(lead)
+	sums := lead.sums.All(s.time())
+	usage, known := lead.limiter.Usage(s.clock(lead))
+	demand := lead.limiter.Demand(s.clock(lead))
+	for _, d := range s.fleet {
+		if d.zone != zone || !d.running() || d == lead || s.random.Float64() < s.digestLoss {
 			continue
 		}
-		p.applyDigest(d, lead, reach, behind, Counters{Spent: sums.Spent, Refused: sums.Refused})
+		s.applyDigest(d, lead, reachable, age, Counters{Spent: sums.Spent, Refused: sums.Refused})
 		if known {
-			d.limiter.AdoptFromPeer(uses, asked, lead.limiter.CountedFor(p.clock(lead)), p.clock(d))
+			d.limiter.AdoptFromPeer(usage, demand, lead.limiter.CountedFor(s.clock(lead)), s.clock(d))
 		}
 	}
 }
 
-func (p *simulator) sendSummary(lead *daemon, relays []*daemon) {
+func (s *simulator) sendSummary(lead *daemon, relays []*daemon) {
 	for _, relay := range relays {
 		if !relay.running() {
 			continue
 		}
 		relay.sums.AddSummary(rollup.Summary{
-			Zone: fmt.Sprint(lead.zone), VM: lead.vm, Incarnation: lead.incarnation, JustStarted: p.now-lead.started < settleTimeout,
-			Counts: lead.sums.Zone(p.time()), Reach: rollup.Reach{Reachable: p.reachableInZone(lead), Known: p.daemons / p.zones},
-		}, p.time())
+			Zone: fmt.Sprint(lead.zone), VM: lead.vm, Incarnation: lead.incarnation, JustStarted: s.now-lead.started < settleTimeout,
+			Counts: lead.sums.Zone(s.time()), Reach: rollup.Reach{Reachable: s.reachableInZone(lead), Known: s.daemons / s.zones},
+		}, s.time())
 	}
 }
 
-// reachableInZone returns how many daemons of its zone a daemon hears, itself included.
-func (p *simulator) reachableInZone(d *daemon) int {
-	heard := 1
+// reachableInZone returns how many daemons of its zone a daemon can reach, itself included.
+func (s *simulator) reachableInZone(d *daemon) int {
+	count := 1
 	for _, at := range d.memberReportedAt {
-		if p.now-at < freshFor {
-			heard++
+		if s.now-at < freshFor {
+			count++
 		}
 	}
-	return heard
+	return count
 }
 
-// useOwnSums lets a daemon go by what it has heard itself. It returns how many it hears, and how old that is.
-func (p *simulator) useOwnSums(d *daemon) (reach int, behind time.Duration) {
-	far, _ := d.sums.Reach(p.time())
-	reach, behind = p.reachableInZone(d)+far.Reachable, max(p.reportInterval, far.MaxAge)
-	if p.ignorePartition {
-		reach, behind = p.daemons, p.reportInterval
+// useOwnSums makes a daemon use the sums of the reports it has received itself. It returns how many
+// daemons it can reach and the age of the sums.
+func (s *simulator) useOwnSums(d *daemon) (reachable int, age time.Duration) {
+	remote, _ := d.sums.Reach(s.time())
+	reachable, age = s.reachableInZone(d)+remote.Reachable, max(s.reportInterval, remote.MaxAge)
+	if s.ignorePartition {
+		reachable, age = s.daemons, s.reportInterval
 	}
 	changed := d.lead.vm != d.vm && d.lead.vm != ""
 	d.lead = leadState{vm: d.vm}
 	spent, refused := d.sums.SpentByOthers()
-	p.applyReport(d, Counters{Spent: spent, Refused: refused}, Report{VM: d.vm, Incarnation: d.incarnation, Baseline: changed}, reach, behind)
-	return reach, behind
+	s.applyReport(d, Counters{Spent: spent, Refused: refused}, Report{VM: d.vm, Incarnation: d.incarnation, Baseline: changed}, reachable, age)
+	return reachable, age
 }
 
-// applyDigest lets a daemon go by what its lead tells.
-func (p *simulator) applyDigest(d, lead *daemon, reach int, behind time.Duration, all Counters) {
-	taken := lead.sums.LastSequence(d.vm)
-	started := p.now-d.started < settleTimeout && p.now-lead.started < settleTimeout
-	warmup := p.now-lead.started < freshFor && !started
-	if warmup && taken == 0 {
+// applyDigest applies a lead's digest at a daemon.
+func (s *simulator) applyDigest(d, lead *daemon, reachable int, age time.Duration, all Counters) {
+	includedSequence := lead.sums.LastSequence(d.vm)
+	startedTogether := s.now-d.started < settleTimeout && s.now-lead.started < settleTimeout
+	warmup := s.now-lead.started < freshFor && !startedTogether
+	if warmup && includedSequence == 0 {
 		return
 	}
-	before := d.lead
-	if warmup && p.now-before.at < freshFor {
-		reach = max(reach, before.reachable)
+	previous := d.lead
+	if warmup && s.now-previous.at < freshFor {
+		reachable = max(reachable, previous.reachable)
 	}
-	d.lead = leadState{vm: lead.vm, incarnation: lead.incarnation, at: p.now, includedSequence: taken, reachable: reach}
-	own, known := d.sent[taken]
-	if !known && taken != 0 {
+	d.lead = leadState{vm: lead.vm, incarnation: lead.incarnation, at: s.now, includedSequence: includedSequence, reachable: reachable}
+	own, known := d.sent[includedSequence]
+	if !known && includedSequence != 0 {
 		return
 	}
-	first := before.vm != lead.vm || before.incarnation != lead.incarnation || before.includedSequence == 0 || taken == 0
-	p.applyReport(d, subtract(all, own), Report{VM: lead.vm, Incarnation: lead.incarnation, Baseline: first && !started}, reach, behind)
+	newLead := previous.vm != lead.vm || previous.incarnation != lead.incarnation || previous.includedSequence == 0 || includedSequence == 0
+	s.applyReport(d, subtract(all, own), Report{VM: lead.vm, Incarnation: lead.incarnation, Baseline: newLead && !startedTogether}, reachable, age)
 }
 
-func (p *simulator) applyReport(d *daemon, used Counters, report Report, reach int, behind time.Duration) {
-	d.limiter.SetReachable(reach, p.daemons, p.clock(d))
-	if p.ignorePeers {
+func (s *simulator) applyReport(d *daemon, counters Counters, report Report, reachable int, age time.Duration) {
+	d.limiter.SetReachable(reachable, s.daemons, s.clock(d))
+	if s.ignorePeers {
 		return
 	}
-	report.Counters, report.Age, report.Interval = used, behind+reportBeforeDigest, p.reportInterval
-	d.limiter.ApplyReport(report, p.clock(d))
+	report.Counters, report.Age, report.Interval = counters, age+reportBeforeDigest, s.reportInterval
+	d.limiter.ApplyReport(report, s.clock(d))
 }
 
-// checkLeads lets daemons that hear no lead make their own sums.
-func (p *simulator) checkLeads() {
-	for _, d := range p.fleet {
-		if d.running() && p.now-d.started >= simulationTick && d.lead.vm != d.vm && p.now-d.lead.at >= freshFor {
-			p.useOwnSums(d)
+// checkLeads makes daemons that receive no digest use their own sums.
+func (s *simulator) checkLeads() {
+	for _, d := range s.fleet {
+		if d.running() && s.now-d.started >= simulationTick && d.lead.vm != d.vm && s.now-d.lead.at >= freshFor {
+			s.useOwnSums(d)
 		}
 	}
 }
 
-// partitioned reports whether a cut lies between two zones.
-func (p *simulator) partitioned(a, b int) bool {
-	for _, e := range p.faults {
-		if e.partition && a != b && (e.zone == a || e.zone == b) && p.now >= e.at && p.now < e.until {
+// partitioned reports whether a partition separates two zones.
+func (s *simulator) partitioned(a, b int) bool {
+	for _, f := range s.faults {
+		if f.partition && a != b && (f.zone == a || f.zone == b) && s.now >= f.at && s.now < f.until {
 			return true
 		}
 	}
 	return false
 }
 
-// writeSnapshot lets a lead write down the uses.
-func (p *simulator) writeSnapshot() {
-	for _, e := range p.faults {
-		if e.storeDown && p.now >= e.at && p.now < e.until {
+// writeSnapshot makes a lead record the usage.
+func (s *simulator) writeSnapshot() {
+	for _, f := range s.faults {
+		if f.storeDown && s.now >= f.at && s.now < f.until {
 			return
 		}
 	}
-	for zone := range p.digestPhases {
-		relays := p.relays(zone)
-		if len(relays) == 0 || !relays[0].running() || p.now-relays[0].started < leaseTakeover {
+	for zone := range s.digestPhases {
+		relays := s.relays(zone)
+		if len(relays) == 0 || !relays[0].running() || s.now-relays[0].started < leaseTakeover {
 			continue
 		}
-		if uses, known := relays[0].limiter.Usage(p.clock(relays[0])); known {
-			p.snapshotUsage, p.snapshotDemand, p.snapshotAt = uses, relays[0].limiter.Demand(p.clock(relays[0])), p.now
+		if usage, known := relays[0].limiter.Usage(s.clock(relays[0])); known {
+			s.snapshotUsage, s.snapshotDemand, s.snapshotAt = usage, relays[0].limiter.Demand(s.clock(relays[0])), s.now
 		}
 		return
 	}
 }
 
-// limitSettled reports whether the allowance has been the same for a window.
-func (p *simulator) limitSettled() bool {
-	since := p.now - p.loweredAt
-	return p.loweredAt == 0 || since < 0 || since >= maxApplyDelay+p.tolerance.Window
+// limitSettled reports whether the allowance has been unchanged for a whole window.
+func (s *simulator) limitSettled() bool {
+	since := s.now - s.loweredAt
+	return s.loweredAt == 0 || since < 0 || since >= maxApplyDelay+s.tolerance.Window
 }
 
-func (p *simulator) sendRequests() {
-	for left := p.demand(p.now) * simulationTick.Seconds(); left > 0; {
-		tokens := p.drawTokens()
-		// Small steps are drawn by chance, so that the mean is right.
-		if tokens > left && p.random.Float64() > left/tokens {
+func (s *simulator) sendRequests() {
+	for left := s.demand(s.now) * simulationTick.Seconds(); left > 0; {
+		tokens := s.drawTokens()
+		// The last request of a tick is sent with a probability that keeps the mean right.
+		if tokens > left && s.random.Float64() > left/tokens {
 			break
 		}
 		left -= tokens
-		p.sendRequest(tokens, true)
-	}
-	for _, tokens := range p.retries[p.now] {
-		p.sendRequest(tokens, false)
-	}
-	delete(p.retries, p.now)
-	p.admittedByTick = append(p.admittedByTick, p.totalAdmitted)
-	span := int(p.tolerance.Window / simulationTick)
-	if i := len(p.admittedByTick) - 1; i >= span && p.limitSettled() {
-		allowed := p.limit + p.tolerance.tokensFor(p.limit)
-		if now := (p.admittedByTick[i] - p.admittedByTick[i-span]) / allowed; now > p.outcome.worstWindow {
-			p.outcome.worstWindow = now
+		s.sendRequest(tokens, true)
+	}
+	for _, tokens := range s.retries[s.now] {
+		s.sendRequest(tokens, false)
+	}
+	delete(s.retries, s.now)
+	s.admittedByTick = append(s.admittedByTick, s.totalAdmitted)
+	span := int(s.tolerance.Window / simulationTick)
+	if i := len(s.admittedByTick) - 1; i >= span && s.limitSettled() {
+		allowed := s.limit + s.tolerance.tokensFor(s.limit)
+		if now := (s.admittedByTick[i] - s.admittedByTick[i-span]) / allowed; now > s.outcome.worstWindow {
+			s.outcome.worstWindow = now
 		}
 	}
 }
 
-// drawTokens returns the tokens of a request.
-func (p *simulator) drawTokens() float64 {
-	if p.requestSize != nil {
-		return p.requestSize(p.random)
+// drawTokens draws the tokens of a request.
+func (s *simulator) drawTokens() float64 {
+	if s.requestSize != nil {
+		return s.requestSize(s.random)
 	}
-	return p.meanTokens * min(4, math.Exp(0.8*p.random.NormFloat64()-0.32))
+	return s.meanTokens * min(4, math.Exp(0.8*s.random.NormFloat64()-0.32))
 }
 
-func (p *simulator) sendRequest(tokens float64, first bool) {
-	d := p.fleet[p.random.IntN(p.daemons)]
+func (s *simulator) sendRequest(tokens float64, first bool) {
+	d := s.fleet[s.random.IntN(s.daemons)]
 	if !d.alive || d.suspended {
 		return
 	}
 	if first {
-		p.outcome.offered += tokens
+		s.outcome.offered += tokens
 	}
-	verdict := d.limiter.Admit("w", tokens, p.clock(d))
+	verdict := d.limiter.Admit("w", tokens, s.clock(d))
 	if verdict.Admitted {
-		p.totalAdmitted += tokens
+		s.totalAdmitted += tokens
 		return
 	}
-	if before := len(p.admittedByTick) - int(p.tolerance.Window/simulationTick); before >= 0 && first && p.totalAdmitted-p.admittedByTick[before]+tokens <= p.limit {
-		p.outcome.refusedWithin += tokens
+	if windowStart := len(s.admittedByTick) - int(s.tolerance.Window/simulationTick); windowStart >= 0 && first && s.totalAdmitted-s.admittedByTick[windowStart]+tokens <= s.limit {
+		s.outcome.refusedWithin += tokens
 	}
 	if first {
-		at := (p.now + max(simulationTick, min(2*time.Second, verdict.RetryAfter))).Truncate(simulationTick)
-		p.retries[at] = append(p.retries[at], tokens)
+		at := (s.now + max(simulationTick, min(2*time.Second, verdict.RetryAfter))).Truncate(simulationTick)
+		s.retries[at] = append(s.retries[at], tokens)
 	}
 }
 
--- a/internal/allowance/stall_test.go
+++ b/internal/allowance/stall_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// newStalledLimiter returns a limiter of one of eight daemons that had admitted some tokens of its own, and
-// stood still for four seconds.
+// newStalledLimiter returns the limiter of one of eight daemons that has admitted own tokens and
+// then stalled for four seconds.
 func newStalledLimiter(c *qt.C, own float64) (l *Limiter, now time.Time) {
 	l = NewLimiter(testTolerance, start, func() float64 { return 0.5 })
 	l.Restore(Snapshot{}, start)
@@ -24,8 +24,9 @@
 	return l, now
 }
 
-// TestStoodStillAdmitsLittleUntilTold: others may have used all meanwhile. What one tells that
-// has counted all the while takes the place of what was known before.
+// TestStoodStillAdmitsLittleUntilTold guards against a stalled daemon that admits requests although
+// peers may have used the whole allowance meanwhile. The usage from a peer that did not stall
+// replaces its own data.
 func TestStoodStillAdmitsLittleUntilTold(t *testing.T) {
 	c := qt.New(t)
 	l, now := newStalledLimiter(c, 50_000)
@@ -45,8 +46,8 @@
 	c.Check(l.AdoptFromPeer(map[string]Usage{}, nil, time.Hour, now), qt.IsFalse)
 }
 
-// TestStoodStillTakesNothingFromThoseThatDid: daemons that stood still together do not take over
-// from each other. When nobody has told anything for some rounds, nothing was used.
+// TestStoodStillTakesNothingFromThoseThatDid guards against daemons that stalled together adopting
+// each other's usage. If no report arrives for some intervals, nothing was used.
 func TestStoodStillTakesNothingFromThoseThatDid(t *testing.T) {
 	c := qt.New(t)
 	l, now := newStalledLimiter(c, 50_000)
@@ -57,7 +58,8 @@
 	c.Check(l.Admit("w", 6_000, now).Admitted, qt.IsTrue)
 }
 
-// TestStoodStillKeepsWhatItAdmittedSince: what others tell does not hold it yet.
+// TestStoodStillKeepsWhatItAdmittedSince guards against losing what a daemon admitted after a
+// stall, which the usage of its peers does not contain yet.
 func TestStoodStillKeepsWhatItAdmittedSince(t *testing.T) {
 	c := qt.New(t)
 	l, now := newStalledLimiter(c, 50_000)
--- a/internal/allowance/suspended_test.go
+++ b/internal/allowance/suspended_test.go
@@ -6,31 +6,33 @@
 	"time"
 )
 
-// drawSuspensions draws histories in which a share of the daemons, or nearly all, is suspended for
-// seconds, once or twice, while a workspace becomes hot.
+// drawSuspensions draws scenarios in which some or nearly all daemons are suspended for seconds,
+// once or twice, around a jump in demand.
 func drawSuspensions(r *rand.Rand) scenario {
-	hot := randMs(r, 10_000, 12_000)
+	jumpAt := randMs(r, 10_000, 12_000)
 	share := []float64{0.2, 0.5, 0.9}[r.IntN(3)]
-	first := hot + randMs(r, -1000, 3000)
+	first := jumpAt + randMs(r, -1000, 3000)
 	second := first + randMs(r, 6000, 8000)
-	return scenario{jumpAt: hot, jumpFactor: 3 + 2*r.Float64(), faults: []fault{
+	return scenario{jumpAt: jumpAt, jumpFactor: 3 + 2*r.Float64(), faults: []fault{
 		{at: first, until: first + randMs(r, 1000, 6000), suspendedShare: share},
 		{at: second, until: second + randMs(r, 500, 4000), suspendedShare: share / 2},
 	}}
 }
 
-// TestSuspendedDaemonsStayWithin: a suspended VM's clock stands still, so that what was used
-// before counts for longer.
+// TestSuspendedDaemonsStayWithin guards against exceeding the bound when VMs are suspended. Their
+// clocks stop, so earlier usage counts for longer.
 func TestSuspendedDaemonsStayWithin(t *testing.T) {
 	runScenarios(t, 12, withClocks(drawSuspensions, true), checkLimitKept)
 }
 
-// TestPausedDaemonsStayWithin: a paused process's clock goes on, and what it heard last is old.
+// TestPausedDaemonsStayWithin guards against exceeding the bound when processes are paused. Their
+// clocks go on, so the last reports they received are old.
 func TestPausedDaemonsStayWithin(t *testing.T) {
 	runScenarios(t, 12, withClocks(drawSuspensions, false), checkLimitKept)
 }
 
-// TestSuspendedBesideACut: the same while a zone is cut off.
+// TestSuspendedBesideACut guards against exceeding the bound when daemons are suspended or paused
+// during a partition.
 func TestSuspendedBesideACut(t *testing.T) {
 	for name, still := range map[string]bool{"suspended": true, "paused": false} {
 		t.Run(name, func(t *testing.T) {
@@ -44,12 +46,12 @@
 	}
 }
 
-// withClocks returns a script whose suspended daemons' clocks stand still, or go on.
-func withClocks(draw func(r *rand.Rand) scenario, still bool) func(r *rand.Rand) scenario {
+// withClocks returns a scenario in which the clocks of suspended daemons stop or go on.
+func withClocks(draw func(r *rand.Rand) scenario, clockStops bool) func(r *rand.Rand) scenario {
 	return func(r *rand.Rand) scenario {
 		s := draw(r)
 		for i := range s.faults {
-			s.faults[i].clockStops = still
+			s.faults[i].clockStops = clockStops
 		}
 		return s
 	}
--- a/internal/allowance/verdict.go
+++ b/internal/allowance/verdict.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// newVerdict returns a verdict with what it is made on.
+// newVerdict returns a Verdict with the values that the decision is based on.
 func (l *Limiter) newVerdict(a *account, free float64, now time.Time) Verdict {
 	return Verdict{
 		Limit: a.limit, Used: a.used.sum(), Free: free, Unreported: l.unreported(a, now), OthersDemand: l.othersDemand(a, now),
@@ -10,27 +10,26 @@
 	}
 }
 
-// Verdict is a decision on a request, and what decided it. All but Admitted is zero where there is no
-// allowance.
+// Verdict is the decision on a request, with the values it is based on. Without an allowance, only
+// Admitted is set.
 type Verdict struct {
 	Admitted bool
-	// ByChance is set for a request that was admitted by chance, since what is free does not suffice for
-	// all that others may ask for.
+	// ByChance is set if the request was admitted at random because the free tokens do not cover
+	// everything that peers may have admitted.
 	ByChance bool
 	// At is when the request was admitted.
 	At time.Time
-	// RetryAfter is when a caller that is refused had better come back.
+	// RetryAfter is how long the caller of a refused request should wait before retrying.
 	RetryAfter time.Duration
-	// Limit is what the workspace may use in a window, Used what it has, Free what this
-	// daemon may count on and Unheard what others may have admitted since they were
-	// heard, in tokens.
+	// Limit is what the workspace may use in a window, Used what it has used, Free what this daemon
+	// may use, and Unreported what peers may have admitted since their last report, in tokens.
 	Limit, Used, Free, Unreported float64
-	// OthersDemand is how fast others are taken to be asked, in tokens a second.
+	// OthersDemand is the assumed demand at the other daemons, in tokens per second.
 	OthersDemand float64
-	// ReportAge is the age of what others told last, or zero before they did.
+	// ReportAge is the time since the last report of peers, or zero before the first.
 	ReportAge time.Duration
-	// ReachableShare is the part of the daemons that is heard.
+	// ReachableShare is the share of the known daemons that are reachable.
 	ReachableShare float64
-	// Restored is set once what was used before the start is known.
+	// Restored is set once the usage before the start of this process is known.
 	Restored bool
 }
--- a/internal/allowance/window.go
+++ b/internal/allowance/window.go
@@ -3,30 +3,29 @@
 import "time"
 
 const (
-	// slotCount is the number of parts in which a window is counted. What was used leaves
-	// the window with the whole part that it was counted in, so that it counts for up to
-	// 1/64 longer than it must: 125 ms of a window of 8 s.
+	// slotCount is the number of slots in which a window is counted. Tokens leave the window
+	// together with their whole slot, so they count for up to 1/64 of the window longer than
+	// necessary: 125 ms for a window of 8 s.
 	slotCount = 64
-	// spanCount is the number of parts in which a window's use is told to daemons that
-	// start. In four parts what was told left the window in steps of 2 s, for which callers
-	// waited that then came at once.
+	// spanCount is the number of spans in which the usage of a window is passed to daemons that
+	// start. With four spans the usage left a window of 8 s in steps of 2 s, and the callers that
+	// had waited for a step came all at once.
 	spanCount = 8
 )
 
-// window is what was used in the last while, in parts of equal length.
+// window is a sliding window of the tokens used, in slots of equal length.
 type window struct {
 	slotWidth time.Duration
-	// origin is a time before all that is counted. Parts are numbered from it on, by the
-	// steady clock: were they numbered by the time of day, a clock that is put forward by
-	// 2 s would forget a quarter of a window of 8 s.
+	// origin is a time before everything in the window. Slots are numbered from it by the monotonic
+	// clock. With numbers from the wall clock, setting the clock forward by 2 s would drop a
+	// quarter of a window of 8 s.
 	origin time.Time
-	// newest is the number of the part that is being filled.
+	// newest is the number of the current slot.
 	newest int64
 	slots  [slotCount + 1]float64
 }
 
-// newWindow returns an empty window of a length for what is used from a time on, or was
-// used in the window before it.
+// newWindow returns an empty window that can count usage from one length before begin.
 func newWindow(length time.Duration, begin time.Time) window {
 	w := window{slotWidth: length / slotCount, origin: begin.Add(-2 * length)}
 	w.newest = w.slotNumber(begin)
@@ -35,7 +34,7 @@
 
 func (w *window) slotNumber(at time.Time) int64 { return int64(at.Sub(w.origin) / w.slotWidth) }
 
-// advance lets what is older than the window go.
+// advance drops the slots that are older than the window.
 func (w *window) advance(now time.Time) {
 	number := w.slotNumber(now)
 	if number-w.newest > slotCount {
@@ -49,7 +48,7 @@
 	}
 }
 
-// slotAt returns the part in which a time is counted, or nil if it has left the window.
+// slotAt returns the slot for a time, or nil if it has left the window.
 func (w *window) slotAt(at time.Time) *float64 {
 	number := min(w.slotNumber(at), w.newest)
 	if number < w.newest-slotCount {
@@ -58,41 +57,41 @@
 	return &w.slots[number%(slotCount+1)]
 }
 
-// add counts what was used at a time.
+// add counts tokens used at a time.
 func (w *window) add(tokens float64, at time.Time) {
-	if part := w.slotAt(at); part != nil {
-		*part += tokens
+	if slot := w.slotAt(at); slot != nil {
+		*slot += tokens
 	}
 }
 
-// remove takes back what was counted at a time.
+// remove subtracts tokens that were counted at a time.
 func (w *window) remove(tokens float64, at time.Time) {
-	if part := w.slotAt(at); part != nil {
-		*part = max(0, *part-tokens)
+	if slot := w.slotAt(at); slot != nil {
+		*slot = max(0, *slot-tokens)
 	}
 }
 
-// removeNewest takes tokens out of the newest parts, where it is not known when they were
-// counted.
+// removeNewest subtracts tokens from the newest slots, for use when the time they were counted at
+// is unknown.
 func (w *window) removeNewest(tokens float64) {
 	for number := w.newest; number >= w.newest-slotCount && tokens > 0; number-- {
-		part := &w.slots[number%(slotCount+1)]
-		taken := min(*part, tokens)
-		*part -= taken
+		slot := &w.slots[number%(slotCount+1)]
+		taken := min(*slot, tokens)
+		*slot -= taken
 		tokens -= taken
 	}
 }
 
-// sum returns what is in the window.
+// sum returns the tokens in the window.
 func (w *window) sum() float64 {
 	total := 0.0
-	for _, part := range w.slots {
-		total += part
+	for _, slot := range w.slots {
+		total += slot
 	}
 	return total
 }
 
-// sumBefore returns what is in the window from before a moment.
+// sumBefore returns the tokens in the window that were used before a time.
 func (w *window) sumBefore(at time.Time) float64 {
 	total := 0.0
 	for number := w.newest - slotCount; number < min(w.slotNumber(at), w.newest+1); number++ {
@@ -101,7 +100,7 @@
 	return total
 }
 
-// timeToFree returns how long it takes until so many tokens have left the window.
+// timeToFree returns how long it takes until the given number of tokens has left the window.
 func (w *window) timeToFree(tokens float64, now time.Time) time.Duration {
 	for number := w.newest - slotCount; number <= w.newest; number++ {
 		tokens -= w.slots[number%(slotCount+1)]
@@ -113,10 +112,10 @@
 	return w.slotWidth * (slotCount + 1)
 }
 
-// Usage is what was used in each eighth of a window, the oldest first, in tokens.
+// Usage is the tokens used in each eighth of a window, the oldest first.
 type Usage [spanCount]float64
 
-// Sum returns what was used in the window.
+// Sum returns the tokens used in the window.
 func (u Usage) Sum() float64 {
 	sum := 0.0
 	for _, tokens := range u {
@@ -125,20 +124,19 @@
 	return sum
 }
 
-// usage returns what is in the window by spans.
-func (w *window) usage() (lately Usage) {
+// usage returns the tokens in the window by span.
+func (w *window) usage() (usage Usage) {
 	for age := range int64(slotCount + 1) {
 		span := max(0, spanCount-1-age*spanCount/slotCount)
-		lately[span] += w.slots[(w.newest-age)%(slotCount+1)]
+		usage[span] += w.slots[(w.newest-age)%(slotCount+1)]
 	}
-	return lately
+	return usage
 }
 
-// addUsage counts a use that was told at a moment, as if each span's had been used at its
-// end.
-func (w *window) addUsage(use Usage, told time.Time) {
-	for span, tokens := range use {
+// addUsage adds usage that was reported at a time. The tokens of each span are counted at its end.
+func (w *window) addUsage(usage Usage, reportedAt time.Time) {
+	for span, tokens := range usage {
 		age := time.Duration(spanCount-1-span) * w.slotWidth * slotCount / spanCount
-		w.add(tokens, told.Add(-age))
+		w.add(tokens, reportedAt.Add(-age))
 	}
 }
