--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,5 +1,5 @@
-// Package limit admits requests by the limits of their workspace. It does no
-// I/O; the time is passed in.
+// Package limit enforces the per-workspace limits on request rate and requests in flight. It does
+// no I/O, and callers pass in the current time.
 package limit
 
 import (
@@ -11,7 +11,8 @@
 	"github.com/plankridge/plankridge/internal/config"
 )
 
-// Limiter holds what the workspaces have used of their limits at this daemon.
+// Limiter tracks how much of its limits each workspace uses at this daemon. It is safe for
+// concurrent use.
 type Limiter struct {
 	mu          sync.Mutex
 	daemons     int
@@ -20,20 +21,22 @@
 }
 
 type workspaceState struct {
-	// configured is set while the generation in force names the workspace.
+	// configured is false for a workspace that the current configuration no longer lists but whose
+	// usage still counts.
 	configured bool
 	limits     config.Limits
 	bucket     *rate.Limiter
 	inFlight   int
 }
 
-// NewLimiter returns a limiter without workspaces.
+// NewLimiter returns a Limiter without workspaces for a single daemon.
 func NewLimiter() *Limiter {
 	return &Limiter{daemons: 1, workspaces: map[string]*workspaceState{}}
 }
 
-// ApplyConfig takes over the limits of a new generation. What is in flight
-// stays counted, and so does what was used, also of a workspace that a generation leaves out for a while.
+// ApplyConfig replaces the limits with those of a new configuration. Requests in flight and the
+// used part of the rate are kept, also for a workspace that one configuration omits and a later one
+// lists again.
 func (l *Limiter) ApplyConfig(index *config.Index) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,9 +59,9 @@
 	l.workspaces = next
 }
 
-// idle reports whether nothing is in flight and nothing that was used counts any more.
-func (u *workspaceState) idle(now time.Time) bool {
-	return u.inFlight == 0 && (u.bucket == nil || u.bucket.TokensAt(now) >= float64(u.bucket.Burst()))
+// idle reports whether the workspace has no requests in flight and its token bucket is full.
+func (w *workspaceState) idle(now time.Time) bool {
+	return w.inFlight == 0 && (w.bucket == nil || w.bucket.TokensAt(now) >= float64(w.bucket.Burst()))
 }
 
 // SetDaemons sets the number of daemons that share each limit.
@@ -71,38 +74,37 @@
 	}
 }
 
-// setRate gives this daemon an even share of the rate. The burst is a second's
-// worth of the whole limit, because a balancer does not spread callers evenly.
-func (u *workspaceState) setRate(daemons int, now time.Time) {
-	if u.limits.RequestsPerSecond == 0 {
-		u.bucket = nil
+// setRate gives this daemon an equal share of the rate. The burst is one second's worth of the
+// whole limit, because a load balancer does not spread callers evenly.
+func (w *workspaceState) setRate(daemons int, now time.Time) {
+	if w.limits.RequestsPerSecond == 0 {
+		w.bucket = nil
 		return
 	}
-	share := rate.Limit(u.limits.RequestsPerSecond / float64(daemons))
-	burst := max(1, int(u.limits.RequestsPerSecond))
-	if u.bucket == nil {
-		u.bucket = rate.NewLimiter(share, burst)
+	share := rate.Limit(w.limits.RequestsPerSecond / float64(daemons))
+	burst := max(1, int(w.limits.RequestsPerSecond))
+	if w.bucket == nil {
+		w.bucket = rate.NewLimiter(share, burst)
 		return
 	}
-	u.bucket.SetLimitAt(now, share)
-	u.bucket.SetBurstAt(now, burst)
+	w.bucket.SetLimitAt(now, share)
+	w.bucket.SetBurstAt(now, burst)
 }
 
-// Verdict is the answer of Admit.
+// Verdict is the result of Admit.
 type Verdict struct {
 	Admitted bool
-	// RetryAfter is when a refused request may come again.
+	// RetryAfter is how long the caller of a refused request should wait before retrying.
 	RetryAfter time.Duration
 	Reason     string
 }
 
-// inFlightRetryAfter is the advice to a workspace that has too much in flight.
+// inFlightRetryAfter is the RetryAfter of a workspace that has too many requests in flight.
 const inFlightRetryAfter = time.Second
 
-// Admit counts a request in, or says why not. Each admitted request has to be
-// followed by one Release. A pinned request can only run at this daemon, so
-// that an even share would be too small: it counts against the whole limit of
-// requests in flight.
+// Admit admits a request or returns the reason for refusing it. The caller must call Release once
+// for each admitted request. A pinned request can only run at this daemon, so an equal share of the
+// in-flight limit would be too small: it is checked against the whole limit.
 func (l *Limiter) Admit(workspace string, pinned bool, now time.Time) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,11 +113,11 @@
 	if entry == nil || !entry.configured {
 		return Verdict{Reason: "workspace is not known"}
 	}
-	sharers := l.daemons
+	daemons := l.daemons
 	if pinned {
-		sharers = 1
+		daemons = 1
 	}
-	if most := entry.maxInFlight(sharers); most > 0 && entry.inFlight >= most {
+	if limit := entry.maxInFlight(daemons); limit > 0 && entry.inFlight >= limit {
 		return Verdict{RetryAfter: inFlightRetryAfter, Reason: "workspace has too many requests in flight"}
 	}
 	if entry.bucket != nil {
@@ -129,14 +131,14 @@
 	return Verdict{Admitted: true}
 }
 
-func (u *workspaceState) maxInFlight(daemons int) int {
-	if u.limits.InFlight == 0 {
+func (w *workspaceState) maxInFlight(daemons int) int {
+	if w.limits.InFlight == 0 {
 		return 0
 	}
-	return max(1, u.limits.InFlight/daemons)
+	return max(1, w.limits.InFlight/daemons)
 }
 
-// CountInFlight counts a request in that another daemon has admitted.
+// CountInFlight counts a request that another daemon has admitted as in flight here.
 func (l *Limiter) CountInFlight(workspace string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,7 +147,7 @@
 	}
 }
 
-// Release counts a request out.
+// Release removes a request that Admit or CountInFlight has counted as in flight.
 func (l *Limiter) Release(workspace string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -40,21 +40,21 @@
 	}
 }
 
-// TestReconfiguredWorkspaceKeepsUsage guards against limits that are there twice where a generation leaves a workspace
-// out for a moment.
+// TestReconfiguredWorkspaceKeepsUsage guards against a workspace getting its limits twice when one
+// configuration omits it and the next one lists it again.
 func TestReconfiguredWorkspaceKeepsUsage(t *testing.T) {
 	c := qt.New(t)
 	l := NewLimiter()
 	now := time.Unix(1000, 0)
-	named := config.NewIndex(&config.Deployment{Workspaces: []config.Workspace{{Name: "w", Limits: config.Limits{RequestsPerSecond: 4, InFlight: 3}}}})
+	configured := config.NewIndex(&config.Deployment{Workspaces: []config.Workspace{{Name: "w", Limits: config.Limits{RequestsPerSecond: 4, InFlight: 3}}}})
 	without := config.NewIndex(&config.Deployment{})
-	l.ApplyConfig(named)
+	l.ApplyConfig(configured)
 	for range 3 {
 		c.Assert(l.Admit("w", false, now).Admitted, qt.IsTrue)
 	}
 	l.ApplyConfig(without)
 	c.Check(l.Admit("w", false, now).Reason, qt.Equals, "workspace is not known")
-	l.ApplyConfig(named)
+	l.ApplyConfig(configured)
 	c.Check(l.Admit("w", false, now).Reason, qt.Equals, "workspace has too many requests in flight")
 	for range 3 {
 		l.Release("w")
@@ -64,5 +64,5 @@
 	l.Release("w")
 	c.Check(l.Admit("other", false, now.Add(time.Minute)).Admitted, qt.IsFalse)
 	l.ApplyConfig(without)
-	c.Check(l.workspaces, qt.HasLen, 0, qt.Commentf("an idle workspace is forgotten"))
+	c.Check(l.workspaces, qt.HasLen, 0, qt.Commentf("an idle workspace is dropped"))
 }
