--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,6 +1,5 @@
-// Package usage counts the requests that began to run, by window of time and
-// workspace, for this daemon and, as far as they have reported, for its peers.
-// It does no I/O.
+// Package usage counts started requests by time window and workspace, for this daemon and for the
+// peers whose reports it receives. It does no I/O.
 package usage
 
 import (
@@ -9,44 +8,45 @@
 	"time"
 )
 
-// Counts are numbers of requests by workspace.
+// Counts holds the number of requests of each workspace.
 type Counts map[string]int64
 
-// retainedWindows is the number of windows that are remembered: two for what is due, and
-// some for holders that come late.
+// retainedWindows is the number of windows before the latest that are kept: two for the reports
+// that are due, and the rest for lease holders that are late.
 const retainedWindows = 8
 
-// Ledger holds the counts.
+// Ledger holds the counts of the recent windows. It is safe for concurrent use.
 type Ledger struct {
 	window time.Duration
 
 	mu     sync.Mutex
 	own    map[int64]Counts
 	remote map[reporter]map[int64]Counts
-	// zones holds what was told of other zones, and under everywhere of all.
+	// zones holds the counts of other zones by name, and under allZones those of all zones
+	// together.
 	zones        map[string]map[int64]Counts
 	latestWindow int64
 }
 
-// reporter is one process of a peer.
+// reporter identifies one process of a peer.
 type reporter struct {
 	vm          string
 	incarnation uint64
 }
 
-// NewLedger returns an empty ledger for windows of that length, which begin at
-// whole multiples of it since 1970.
+// NewLedger returns an empty ledger. Windows start at whole multiples of their length since the
+// Unix epoch.
 func NewLedger(window time.Duration) *Ledger {
 	return &Ledger{window: window, own: map[int64]Counts{}, remote: map[reporter]map[int64]Counts{}, zones: map[string]map[int64]Counts{}}
 }
 
-// WindowAt returns the number of the window that holds a time.
+// WindowAt returns the number of the window that contains a time.
 func (l *Ledger) WindowAt(at time.Time) int64 { return at.UnixNano() / int64(l.window) }
 
-// End returns when a window ends.
+// End returns the end of a window.
 func (l *Ledger) End(id int64) time.Time { return time.Unix(0, (id+1)*int64(l.window)) }
 
-// RequestStarted counts a request that began to run.
+// RequestStarted counts a request that started at the given time.
 func (l *Ledger) RequestStarted(workspace string, at time.Time) {
 	id := l.WindowAt(at)
 	l.mu.Lock()
@@ -71,7 +71,8 @@
 	return out
 }
 
-// MergePeer takes over the counts of a peer's process. Counts only grow.
+// MergePeer merges the counts reported by a peer's process. Counts never decrease, so a late report
+// has no effect.
 func (l *Ledger) MergePeer(vm string, incarnation uint64, windows map[int64]Counts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,9 +83,9 @@
 	l.mergeWindows(l.remote[key], windows)
 }
 
-// mergeWindows takes over counts that are higher than those known.
-func (l *Ledger) mergeWindows(known, told map[int64]Counts) {
-	for id, counts := range told {
+// mergeWindows raises the known counts to the received ones where those are higher.
+func (l *Ledger) mergeWindows(known, received map[int64]Counts) {
+	for id, counts := range received {
 		if known[id] == nil {
 			known[id] = Counts{}
 		}
@@ -105,10 +106,10 @@
 	}
 }
 
-// allZones stands for all zones together.
+// allZones is the key for the counts of all zones together.
 const allZones = ""
 
-// MergeZone takes over the counts of another zone, whoever tells them.
+// MergeZone merges the counts of another zone. They may come from any daemon.
 func (l *Ledger) MergeZone(zone string, windows map[int64]Counts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,14 +119,13 @@
 	l.mergeWindows(l.zones[zone], windows)
 }
 
-// MergeAll takes over the counts of all zones together, as a relay tells them.
+// MergeAll merges the counts of all zones together, as sent by a relay.
 func (l *Ledger) MergeAll(windows map[int64]Counts) { l.MergeZone(allZones, windows) }
 
-// Zone returns the counts of the latest windows over this daemon and those whose
-// reports it has.
+// Zone returns the counts of the latest windows for this daemon and the peers that report to it.
 func (l *Ledger) Zone(latest int) map[int64]Counts { return l.recentWindows(latest, l.zoneSum) }
 
-// All returns the counts of the latest windows over everything.
+// All returns the counts of the latest windows for all zones.
 func (l *Ledger) All(latest int) map[int64]Counts { return l.recentWindows(latest, l.sum) }
 
 func (l *Ledger) recentWindows(count int, sum func(id int64) Counts) map[int64]Counts {
@@ -140,34 +140,34 @@
 	return out
 }
 
-// prune forgets old windows.
+// prune drops old windows. The caller holds the lock.
 func (l *Ledger) prune(id int64) {
 	if id <= l.latestWindow {
 		return
 	}
 	l.latestWindow = id
 	oldest := l.latestWindow - retainedWindows
-	drop := func(id int64, _ Counts) bool { return id < oldest }
-	maps.DeleteFunc(l.own, drop)
+	isOld := func(id int64, _ Counts) bool { return id < oldest }
+	maps.DeleteFunc(l.own, isOld)
 	for _, windows := range l.zones {
-		maps.DeleteFunc(windows, drop)
+		maps.DeleteFunc(windows, isOld)
 	}
 	for key, windows := range l.remote {
-		maps.DeleteFunc(windows, drop)
+		maps.DeleteFunc(windows, isOld)
 		if len(windows) == 0 {
 			delete(l.remote, key)
 		}
 	}
 }
 
-// Sum returns the counts of a window over all daemons that have reported.
+// Sum returns the counts of a window for all daemons that have reported.
 func (l *Ledger) Sum(id int64) Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sum(id)
 }
 
-// sum adds up a window over all zones; the caller holds the lock.
+// sum adds up the counts of a window over all zones. The caller holds the lock.
 func (l *Ledger) sum(id int64) Counts {
 	total := l.zoneSum(id)
 	for name, windows := range l.zones {
@@ -179,8 +179,8 @@
 	return total
 }
 
-// zoneSum adds up a window over this daemon and those that report to it; the caller
-// holds the lock.
+// zoneSum adds up the counts of a window over this daemon and the peers that report to it. The
+// caller holds the lock.
 func (l *Ledger) zoneSum(id int64) Counts {
 	total := Counts{}
 	total.add(l.own[id])
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -15,8 +15,8 @@
 	c.Check(l.End(id), qt.Equals, time.Unix(1005, 0))
 	l.RequestStarted("w", at)
 	l.MergePeer("vm-2", 1, map[int64]Counts{id: {"w": 3}})
-	// A late report of the same process takes nothing back, and one of its next
-	// process adds.
+	// A late report of the same process must not lower its count. A report of the peer's next
+	// process adds to it.
 	l.MergePeer("vm-2", 1, map[int64]Counts{id: {"w": 2}})
 	l.MergePeer("vm-2", 2, map[int64]Counts{id: {"w": 4}})
 	c.Check(l.Sum(id), qt.DeepEquals, Counts{"w": 8})
