--- a/internal/rollup/compress_test.go
+++ b/internal/rollup/compress_test.go
@@ -9,7 +9,7 @@
 	"github.com/plankridge/plankridge/internal/backend"
 )
 
-// testLoads returns the loads of so many servers, of which every fifth has none.
+// testLoads returns the loads and keys of count servers. Every fifth server has no load.
 func testLoads(count int) (map[uint32]backend.Load, []uint32) {
 	random := rand.New(rand.NewPCG(1, uint64(count)))
 	loads := map[uint32]backend.Load{}
@@ -27,39 +27,40 @@
 func TestFewLoadsAreNotCompressed(t *testing.T) {
 	c := qt.New(t)
 	loads, keys := testLoads(MaxListedLoads)
-	told, rest := CompressLoads(loads, func() []uint32 { return keys })
-	c.Check(told, qt.DeepEquals, loads)
-	c.Check(rest, qt.Equals, backend.Load{})
+	listed, restMean := CompressLoads(loads, func() []uint32 { return keys })
+	c.Check(listed, qt.DeepEquals, loads)
+	c.Check(restMean, qt.Equals, backend.Load{})
 }
 
-// TestCompressedLoadsAreAccurate: of 3,000 servers the busiest are known as they are, and
-// the others' number of requests to within a few.
+// TestCompressedLoadsAreAccurate compresses the loads of 3,000 servers and expands them again. The
+// total of running requests must stay within 10%, and no server's pending tokens may be understated
+// by 10,000 or more.
 func TestCompressedLoadsAreAccurate(t *testing.T) {
 	c := qt.New(t)
 	loads, keys := testLoads(3000)
-	told, rest := CompressLoads(loads, func() []uint32 { return keys })
-	c.Check(len(told) <= MaxListedLoads, qt.IsTrue)
-	total, after := 0, 0
-	ExpandLoads(told, rest, keys)
-	most := backend.Load{}
+	listed, restMean := CompressLoads(loads, func() []uint32 { return keys })
+	c.Check(len(listed) <= MaxListedLoads, qt.IsTrue)
+	total, expanded := 0, 0
+	ExpandLoads(listed, restMean, keys)
+	maxShortfall := backend.Load{}
 	for _, key := range keys {
 		total += loads[key].Running
-		after += told[key].Running
-		most.PendingTokens = max(most.PendingTokens, loads[key].PendingTokens-told[key].PendingTokens)
+		expanded += listed[key].Running
+		maxShortfall.PendingTokens = max(maxShortfall.PendingTokens, loads[key].PendingTokens-listed[key].PendingTokens)
 	}
-	c.Check(float64(after) > 0.9*float64(total) && float64(after) < 1.1*float64(total), qt.IsTrue, qt.Commentf("%d running, told as %d", total, after))
-	c.Check(most.PendingTokens < 10_000, qt.IsTrue, qt.Commentf("one with %d tokens more than told", most.PendingTokens))
+	c.Check(float64(expanded) > 0.9*float64(total) && float64(expanded) < 1.1*float64(total), qt.IsTrue, qt.Commentf("%d running, %d after expansion", total, expanded))
+	c.Check(maxShortfall.PendingTokens < 10_000, qt.IsTrue, qt.Commentf("a server with %d more pending tokens than after expansion", maxShortfall.PendingTokens))
 }
 
 func TestExpandLoadsWithoutMean(t *testing.T) {
 	c := qt.New(t)
-	told := map[uint32]backend.Load{1: {Running: 2}}
-	ExpandLoads(told, backend.Load{}, []uint32{1, 2})
-	c.Check(told, qt.HasLen, 1)
+	listed := map[uint32]backend.Load{1: {Running: 2}}
+	ExpandLoads(listed, backend.Load{}, []uint32{1, 2})
+	c.Check(listed, qt.HasLen, 1)
 }
 
-// BenchmarkCompressLoads states what a lead pays twice a round: 1.4 ms of a core for 3,000
-// servers, 2.9 ms when each comparison looked its servers up.
+// BenchmarkCompressLoads measures the work that a lead does twice per report interval: 1.4 ms of a
+// core for 3,000 servers, against 2.9 ms when each comparison looked up both servers.
 func BenchmarkCompressLoads(b *testing.B) {
 	loads, keys := testLoads(3000)
 	for b.Loop() {
--- a/internal/rollup/rollup.go
+++ b/internal/rollup/rollup.go
@@ -1,6 +1,5 @@
-// Package rollup adds up what the daemons of a zone report and what the other
-// zones tell, for the daemon that relays between them. It does no I/O; the time
-// is passed in.
+// Package rollup adds up the reports of a zone's daemons and the summaries of other zones, for the
+// daemon that relays between them. It does no I/O, and callers pass in the current time.
 package rollup
 
 import (
@@ -14,47 +13,46 @@
 	"github.com/plankridge/plankridge/internal/rollout"
 )
 
-// FreshFor is how long what a daemon or a zone has told counts as the present
-// state: three reports and the delay of a slow link.
+// FreshFor is how long a report of a daemon or a summary of a zone counts as current: three reports
+// and the delay of a slow link.
 const FreshFor = 1500 * time.Millisecond
 
-// leadTimeout is how long a lead of another zone is listened to after its last summary
-// before another one is: two reports of a large deployment and a margin.
+// leadTimeout is how long after its last summary a zone's lead is kept before another lead of that
+// zone is accepted: two reports of a large deployment and a margin.
 const leadTimeout = time.Second
 
-// Counts are what a daemon, a zone or the deployment has used.
+// Counts is the usage of a daemon, a zone or the whole deployment.
 type Counts struct {
-	// Spent is by workspace and only grows within a process, and so is Refused, what was
-	// asked for beyond the allowance.
+	// Spent and Refused are the admitted tokens and those refused for lack of allowance, by
+	// workspace. They never decrease within a process.
 	Spent   map[string]float64
 	Refused map[string]float64
-	// Loads are the attempts in flight, by the server's key.
+	// Loads holds the attempts in flight by server key.
 	Loads map[uint32]backend.Load
-	// Demand is what is asked of each service's engines.
+	// Demand is the demand for each service's engines.
 	Demand map[string]demand.Load
-	// Paces are what was learned of each service's engines.
+	// Paces holds the measured figures of each service's engines.
 	Paces map[string]pace.EngineFigures
-	// Versions are how the versions of services answered while one is tried.
+	// Versions holds the results of service versions that are being rolled out.
 	Versions rollout.Tallies
 }
 
-// Reach is which daemons are heard.
+// Reach describes which daemons can be reached.
 type Reach struct {
 	Reachable, Known int
-	// Fence is the fencing number of one that holds the lease, or zero.
+	// Fence is the fencing number of a reachable lease holder, or zero.
 	Fence int64
-	// MaxAge is how long ago the zone was heard that has been silent for longest among
-	// those that count as heard.
+	// MaxAge is the age of the oldest summary among the zones that count as reachable.
 	MaxAge time.Duration
 }
 
-// process is one start of one daemon, or one relay's account of a zone.
+// process identifies one process of a daemon.
 type process struct {
 	vm          string
 	incarnation uint64
 }
 
-// latestReport is what a process has told last.
+// latestReport is the last report of a process.
 type latestReport struct {
 	process
 	counts     Counts
@@ -62,123 +60,121 @@
 	receivedAt time.Time
 }
 
-// zoneState is what another zone's lead has told last.
+// zoneState is the last summary of another zone's lead.
 type zoneState struct {
 	latestReport
 	reach     Reach
 	spendRate SpendRate
 }
 
-// Aggregator keeps the sums. It may be used by several goroutines.
+// Aggregator adds up reports and summaries. It is safe for concurrent use.
 type Aggregator struct {
 	mu      sync.Mutex
 	own     Counts
 	members map[string]*latestReport
 	zones   map[string]*zoneState
-	// zoneTotal and allTotal add up what was spent and refused since this process
-	// started, so that they only grow whatever process or relay comes or goes.
+	// zoneTotal and allTotal add up what was spent and refused since this process started. They
+	// never decrease when a process or relay comes or goes.
 	zoneTotal totals
 	allTotal  totals
 }
 
-// totals only grow.
+// totals holds running totals by workspace.
 type totals struct{ spent, refused map[string]float64 }
 
 func newTotals() totals {
 	return totals{spent: map[string]float64{}, refused: map[string]float64{}}
 }
 
-// addIncrease adds what was spent and refused between two accounts of a process.
+// addIncrease adds the increase between two reports of a process.
 func (t totals) addIncrease(before, after Counts) {
 	addDifference(t.spent, before.Spent, after.Spent)
 	addDifference(t.refused, before.Refused, after.Refused)
 }
 
-// New returns empty sums.
+// New returns an empty Aggregator.
 func New() *Aggregator {
 	return &Aggregator{members: map[string]*latestReport{}, zones: map[string]*zoneState{}, zoneTotal: newTotals(), allTotal: newTotals()}
 }
 
-// SetOwn takes over what this daemon itself has used.
-func (s *Aggregator) SetOwn(counts Counts) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.addIncrease(s.own, counts, true)
-	s.own = counts
+// SetOwn sets the counts of this daemon.
+func (a *Aggregator) SetOwn(counts Counts) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.addIncrease(a.own, counts, true)
+	a.own = counts
 }
 
-// Report is what a daemon of the zone tells.
+// Report is the report of a daemon of the same zone.
 type Report struct {
 	VM          string
 	Incarnation uint64
 	Sequence    uint64
-	// JustStarted is set for a process that has just started: all that it has spent
-	// is new.
+	// JustStarted is set while the process has just started: everything it has spent is new.
 	JustStarted bool
 	Counts      Counts
 }
 
-// AddReport takes over a report.
-func (s *Aggregator) AddReport(r Report, now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// AddReport adds the report of a daemon of the same zone.
+func (a *Aggregator) AddReport(r Report, now time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	key := process{r.VM, r.Incarnation}
-	last := s.members[r.VM]
+	last := a.members[r.VM]
 	switch {
 	case last != nil && last.process == key:
-		s.addIncrease(last.counts, r.Counts, true)
+		a.addIncrease(last.counts, r.Counts, true)
 	case r.JustStarted:
-		s.addIncrease(Counts{}, r.Counts, true)
+		a.addIncrease(Counts{}, r.Counts, true)
 	}
-	s.members[r.VM] = &latestReport{process: key, counts: r.Counts, sequence: r.Sequence, receivedAt: now}
+	a.members[r.VM] = &latestReport{process: key, counts: r.Counts, sequence: r.Sequence, receivedAt: now}
 }
 
-// Summary is what the lead of another zone tells.
+// Summary is the summary of another zone, sent by the zone's lead (its first relay).
 type Summary struct {
 	Zone        string
 	VM          string
 	Incarnation uint64
-	// JustStarted is set for a process that has just started.
+	// JustStarted is set while the process has just started.
 	JustStarted bool
 	Counts      Counts
 	Reach       Reach
 }
 
-// AddSummary takes over a summary. One lead of a zone is listened to until it falls
-// silent or its process is followed by another one. What a new lead has counted
-// before cannot be told from what was known; the rate fills in what was spent
-// between.
-func (s *Aggregator) AddSummary(y Summary, now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	key := process{y.VM, y.Incarnation}
-	last := s.zones[y.Zone]
+// AddSummary adds the summary of another zone. It accepts one lead per zone until that lead is
+// silent for leadTimeout or its daemon restarts. How much of a new lead's total was already counted
+// is unknown, so the spending between the two leads is estimated from the rate.
+func (a *Aggregator) AddSummary(summary Summary, now time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	key := process{summary.VM, summary.Incarnation}
+	last := a.zones[summary.Zone]
 	if last != nil && last.vm != key.vm && now.Sub(last.receivedAt) < leadTimeout {
 		return
 	}
-	next := &zoneState{latestReport: latestReport{process: key, counts: y.Counts, receivedAt: now}, reach: y.Reach}
+	next := &zoneState{latestReport: latestReport{process: key, counts: summary.Counts, receivedAt: now}, reach: summary.Reach}
 	switch {
 	case last == nil:
 		next.spendRate.FillGap(now)
 	case last.process == key:
-		s.addIncrease(last.counts, y.Counts, false)
+		a.addIncrease(last.counts, summary.Counts, false)
 		next.spendRate = last.spendRate
-		next.spendRate.Observe(last.counts.Spent, y.Counts.Spent, now)
-	case y.JustStarted:
-		s.addIncrease(Counts{}, y.Counts, false)
+		next.spendRate.Observe(last.counts.Spent, summary.Counts.Spent, now)
+	case summary.JustStarted:
+		a.addIncrease(Counts{}, summary.Counts, false)
 		next.spendRate = last.spendRate
 		next.spendRate.FillGap(now)
 	default:
 		next.spendRate = last.spendRate
-		s.addIncrease(Counts{}, Counts{Spent: next.spendRate.FillGap(now)}, false)
+		a.addIncrease(Counts{}, Counts{Spent: next.spendRate.FillGap(now)}, false)
 	}
-	s.zones[y.Zone] = next
+	a.zones[summary.Zone] = next
 }
 
-func (s *Aggregator) addIncrease(before, after Counts, ownZone bool) {
-	s.allTotal.addIncrease(before, after)
+func (a *Aggregator) addIncrease(before, after Counts, ownZone bool) {
+	a.allTotal.addIncrease(before, after)
 	if ownZone {
-		s.zoneTotal.addIncrease(before, after)
+		a.zoneTotal.addIncrease(before, after)
 	}
 }
 
@@ -188,32 +184,32 @@
 	}
 }
 
-// LastSequence returns the sequence of the last report of a daemon that the sums hold.
-func (s *Aggregator) LastSequence(vm string) uint64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if m := s.members[vm]; m != nil {
+// LastSequence returns the sequence number of the last report received from a daemon, or zero.
+func (a *Aggregator) LastSequence(vm string) uint64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if m := a.members[vm]; m != nil {
 		return m.sequence
 	}
 	return 0
 }
 
-// Zone returns the sums over this daemon's zone.
-func (s *Aggregator) Zone(now time.Time) Counts {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	sum := s.zoneCurrent(now)
-	sum.Spent, sum.Refused = maps.Clone(s.zoneTotal.spent), maps.Clone(s.zoneTotal.refused)
+// Zone returns the sums for this daemon's zone.
+func (a *Aggregator) Zone(now time.Time) Counts {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	sum := a.zoneCurrent(now)
+	sum.Spent, sum.Refused = maps.Clone(a.zoneTotal.spent), maps.Clone(a.zoneTotal.refused)
 	return sum
 }
 
-// All returns the sums over all zones.
-func (s *Aggregator) All(now time.Time) Counts {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	sum := s.zoneCurrent(now)
-	sum.Spent, sum.Refused = maps.Clone(s.allTotal.spent), maps.Clone(s.allTotal.refused)
-	for _, z := range s.zones {
+// All returns the sums for all zones.
+func (a *Aggregator) All(now time.Time) Counts {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	sum := a.zoneCurrent(now)
+	sum.Spent, sum.Refused = maps.Clone(a.allTotal.spent), maps.Clone(a.allTotal.refused)
+	for _, z := range a.zones {
 		if z.fresh(now) {
 			sum.addCurrent(z.counts)
 		}
@@ -221,17 +217,17 @@
 	return sum
 }
 
-// Others returns the loads and the demand of all daemons but this one.
-func (s *Aggregator) Others(now time.Time) Counts {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// Others returns the current loads, demand and engine figures of all daemons but this one.
+func (a *Aggregator) Others(now time.Time) Counts {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	sum := NewCounts()
-	for _, m := range s.members {
+	for _, m := range a.members {
 		if m.fresh(now) {
 			sum.addCurrent(m.counts)
 		}
 	}
-	for _, z := range s.zones {
+	for _, z := range a.zones {
 		if z.fresh(now) {
 			sum.addCurrent(z.counts)
 		}
@@ -239,31 +235,31 @@
 	return sum
 }
 
-// SpentByOthers returns what was spent and refused over all zones since this process started,
-// by others than this daemon.
-func (s *Aggregator) SpentByOthers() (spent, refused map[string]float64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	spent, refused = maps.Clone(s.allTotal.spent), maps.Clone(s.allTotal.refused)
-	Subtract(spent, s.own.Spent)
-	Subtract(refused, s.own.Refused)
+// SpentByOthers returns what all daemons but this one have spent and been refused, over all zones,
+// since this process started.
+func (a *Aggregator) SpentByOthers() (spent, refused map[string]float64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	spent, refused = maps.Clone(a.allTotal.spent), maps.Clone(a.allTotal.refused)
+	Subtract(spent, a.own.Spent)
+	Subtract(refused, a.own.Refused)
 	return spent, refused
 }
 
-// Subtract takes a part off what is counted by workspace.
+// Subtract subtracts the values of part from all, by workspace.
 func Subtract(all, part map[string]float64) {
 	for workspace, tokens := range part {
 		all[workspace] -= tokens
 	}
 }
 
-// Reach returns which daemons of other zones are heard through their leads, and
-// whether every zone is heard that was.
-func (s *Aggregator) Reach(now time.Time) (sum Reach, complete bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// Reach returns which daemons of other zones can be reached through their leads, and whether the
+// summaries of all known zones are fresh.
+func (a *Aggregator) Reach(now time.Time) (sum Reach, complete bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	complete = true
-	for _, z := range s.zones {
+	for _, z := range a.zones {
 		sum.Known += z.reach.Known
 		if !z.fresh(now) {
 			complete = false
@@ -276,20 +272,20 @@
 	return sum, complete
 }
 
-// forgetAfter is how long a silent zone or daemon is remembered.
+// forgetAfter is how long a silent zone or daemon is kept.
 const forgetAfter = 30 * time.Second
 
-// Sweep forgets what has been silent for long.
-func (s *Aggregator) Sweep(now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	maps.DeleteFunc(s.members, func(_ string, m *latestReport) bool { return now.Sub(m.receivedAt) >= forgetAfter })
-	maps.DeleteFunc(s.zones, func(_ string, z *zoneState) bool { return now.Sub(z.receivedAt) >= forgetAfter })
+// Sweep removes the zones and daemons that have been silent for forgetAfter.
+func (a *Aggregator) Sweep(now time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	maps.DeleteFunc(a.members, func(_ string, m *latestReport) bool { return now.Sub(m.receivedAt) >= forgetAfter })
+	maps.DeleteFunc(a.zones, func(_ string, z *zoneState) bool { return now.Sub(z.receivedAt) >= forgetAfter })
 }
 
-func (a *latestReport) fresh(now time.Time) bool { return now.Sub(a.receivedAt) < FreshFor }
+func (r *latestReport) fresh(now time.Time) bool { return now.Sub(r.receivedAt) < FreshFor }
 
-// NewCounts returns counts of nothing.
+// NewCounts returns empty Counts.
 func NewCounts() Counts {
 	return Counts{
 		Spent: map[string]float64{}, Refused: map[string]float64{}, Loads: map[uint32]backend.Load{}, Demand: map[string]demand.Load{}, Paces: map[string]pace.EngineFigures{},
@@ -297,12 +293,11 @@
 	}
 }
 
-// zoneCurrent adds up the loads and the demand of the zone; the caller holds the
-// lock.
-func (s *Aggregator) zoneCurrent(now time.Time) Counts {
+// zoneCurrent adds up everything but the token totals over the zone. The caller holds the lock.
+func (a *Aggregator) zoneCurrent(now time.Time) Counts {
 	sum := NewCounts()
-	sum.addCurrent(s.own)
-	for _, m := range s.members {
+	sum.addCurrent(a.own)
+	for _, m := range a.members {
 		if m.fresh(now) {
 			sum.addCurrent(m.counts)
 		}
--- a/internal/rollup/rollup_test.go
+++ b/internal/rollup/rollup_test.go
@@ -27,7 +27,7 @@
 	s.AddSummary(Summary{Zone: "y", VM: "p", Counts: testCounts(1000), Reach: Reach{Reachable: 4, Known: 5, Fence: 9}}, start)
 	s.AddSummary(Summary{Zone: "y", VM: "p", Counts: testCounts(1300), Reach: Reach{Reachable: 4, Known: 5, Fence: 9}}, start)
 	all := s.All(start)
-	c.Check(all.Spent["w"], qt.Equals, 325.0, qt.Commentf("what another zone had spent before is not known to be new"))
+	c.Check(all.Spent["w"], qt.Equals, 325.0, qt.Commentf("the first summary of a zone adds no tokens"))
 	c.Check(all.Loads[7], qt.Equals, backend.Load{Running: 3, PendingTokens: 300})
 	c.Check(all.Demand["s"], qt.Equals, demand.Load{Reading: 3, Places: 6, Memory: 9})
 	c.Check(s.Zone(start).Spent["w"], qt.Equals, 25.0)
@@ -52,7 +52,7 @@
 	c.Check(complete, qt.IsFalse)
 	s.Sweep(start.Add(forgetAfter))
 	_, complete = s.Reach(start.Add(forgetAfter))
-	c.Check(complete, qt.IsTrue, qt.Commentf("a zone that is gone for good"))
+	c.Check(complete, qt.IsTrue, qt.Commentf("the silent zone has been removed"))
 }
 
 func TestRestartedMemberAddsToTotal(t *testing.T) {
@@ -63,7 +63,7 @@
 	c.Check(s.All(start).Spent["w"], qt.Equals, 23.0)
 	s.AddReport(Report{VM: "b", Incarnation: 1, Counts: testCounts(500)}, start)
 	s.AddReport(Report{VM: "b", Incarnation: 1, Counts: testCounts(501)}, start)
-	c.Check(s.All(start).Spent["w"], qt.Equals, 24.0, qt.Commentf("b has been running for long"))
+	c.Check(s.All(start).Spent["w"], qt.Equals, 24.0, qt.Commentf("the first report of a running process adds no tokens"))
 }
 
 func TestSecondLeadOfZoneIsIgnored(t *testing.T) {
@@ -78,8 +78,9 @@
 	c.Check(s.All(later).Spent["w"], qt.Equals, 50.0)
 }
 
-// TestLeadChangeFillsGap: what a zone spends while nobody tells of it is
-// filled in, and a process that has just started is counted whole.
+// TestLeadChangeFillsGap guards against losing tokens when a zone's lead changes: the spending
+// between the two leads must be estimated, and a process that has just started must be counted in
+// full.
 func TestLeadChangeFillsGap(t *testing.T) {
 	c := qt.New(t)
 	s := New()
