--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -1,6 +1,6 @@
-// Package retrybudget bounds how often requests are sent beyond their first
-// time, over all daemons together: each daemon takes its part, and the parts
-// add up. It does no I/O; the time is passed in.
+// Package retrybudget limits how many requests are retried, over all daemons together. Each daemon
+// enforces its own share, and the shares add up to the whole budget. It does no I/O, and callers
+// pass in the current time.
 package retrybudget
 
 import (
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// Bounds are the limits of the whole deployment.
+// Bounds is the retry budget of the whole deployment.
 type Bounds struct {
-	// RetryRatio is the number of repeats for each request.
+	// RetryRatio is the number of retries allowed per request.
 	RetryRatio float64
-	// ExtraRetries is the number of repeats beyond that in a window.
+	// ExtraRetries is the number of additional retries allowed in each window.
 	ExtraRetries float64
 	Window       time.Duration
 }
 
-// usableShare is the part of the budget that is used. The rest covers a window that
-// slides over the end of ours, and daemons that are not known yet.
+// usableShare is the share of the budget that may be used. The rest covers windows that are not
+// aligned with the slices, and daemons that are not known yet.
 const usableShare = 0.75
 
-// Budget is one daemon's part.
+// Budget is one daemon's share of the retry budget. It is safe for concurrent use.
 type Budget struct {
 	bounds Bounds
 
 	mu sync.Mutex
-	// origin is the first time seen. Slices are counted from it, so that a step
-	// of the time of day moves nothing.
+	// origin is the first time passed in. Slices are numbered from it, so that a step of the wall
+	// clock has no effect.
 	origin   time.Time
 	daemons  int
 	services map[string]*service
@@ -38,10 +38,10 @@
 	retries  counter
 }
 
-// defaultWindow is used where no window is set.
+// defaultWindow is used if Bounds.Window is not set.
 const defaultWindow = 10 * time.Second
 
-// New returns a budget for a single daemon.
+// New returns a Budget for a single daemon.
 func New(bounds Bounds) *Budget {
 	if bounds.Window <= 0 {
 		bounds.Window = defaultWindow
@@ -49,7 +49,7 @@
 	return &Budget{bounds: bounds, daemons: 1, services: map[string]*service{}}
 }
 
-// SetDaemons sets the number of daemons that share the extra repeats.
+// SetDaemons sets the number of daemons that share ExtraRetries.
 func (b *Budget) SetDaemons(count int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,30 +65,30 @@
 	return s
 }
 
-// CountRequest notes the first sending of a request.
+// CountRequest counts the first attempt of a request.
 func (b *Budget) CountRequest(name string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.service(name).requests.add(b.sliceAt(now))
 }
 
-// TryRetry asks for one more sending and counts it when there is room.
+// TryRetry reports whether the budget allows another retry, and counts it if so.
 func (b *Budget) TryRetry(name string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.service(name)
 	slice := b.sliceAt(now)
 	requests := float64(s.requests.sum(slice))
-	repeats := float64(s.retries.sum(slice))
+	retries := float64(s.retries.sum(slice))
 	allowed := usableShare * (b.bounds.RetryRatio*requests + b.bounds.ExtraRetries/float64(b.daemons))
-	if repeats+1 > allowed {
+	if retries+1 > allowed {
 		return false
 	}
 	s.retries.add(slice)
 	return true
 }
 
-// sliceAt numbers the slice of the window that holds a time.
+// sliceAt returns the number of the slice that contains a time.
 func (b *Budget) sliceAt(now time.Time) int64 {
 	if b.origin.IsZero() {
 		b.origin = now
@@ -96,7 +96,7 @@
 	return int64(now.Sub(b.origin) / (b.bounds.Window / slicesPerWindow))
 }
 
-// slicesPerWindow is the number of parts that a window is counted in.
+// slicesPerWindow is the number of slices that a window is divided into.
 const slicesPerWindow = 20
 
 // counter counts events over a sliding window.
@@ -105,7 +105,7 @@
 	lastSlice int64
 }
 
-// sum counts what lies in the window, rounded up to a whole slice.
+// sum returns the number of events in the window, which is rounded up to a whole slice.
 func (c *counter) sum(slice int64) int {
 	c.advance(slice)
 	total := 0
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -39,26 +39,26 @@
 	c.Check(b.TryRetry("s", now.Add(11*time.Second)), qt.IsTrue)
 }
 
-// TestNoWindowHoldsMore: however requests and repeats come, no window of the
-// length holds more repeats than the bound allows.
+// TestNoWindowHoldsMore checks that no window contains more retries than the bounds allow, for
+// random sequences of requests and retries.
 func TestNoWindowHoldsMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(testBounds)
 		now := time.Unix(1000, 0)
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		for range rapid.IntRange(50, 600).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 120).Draw(t, "pause")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
 				b.CountRequest("s", now)
 				requests = append(requests, now)
 			} else if b.TryRetry("s", now) {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
-		for _, end := range repeats {
+		for _, end := range retries {
 			allowed := testBounds.RetryRatio*float64(countWithin(requests, end)) + testBounds.ExtraRetries
-			if n := float64(countWithin(repeats, end)); n > allowed {
-				t.Fatalf("%v repeats where %v are allowed", n, allowed)
+			if n := float64(countWithin(retries, end)); n > allowed {
+				t.Fatalf("%v retries, %v allowed", n, allowed)
 			}
 		}
 	})
