--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -1,5 +1,5 @@
-// Package burn counts good and bad requests by service and workspace, and
-// reports how fast each burns its error budget.
+// Package burn counts good and bad requests by service and workspace, and reports the rate at which
+// each burns its error budget.
 package burn
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Windows are the spans over which the burn rate is reported.
+// Windows are the windows over which the burn rate is reported.
 var Windows = []time.Duration{5 * time.Minute, time.Hour, 6 * time.Hour}
 
 const (
@@ -17,13 +17,13 @@
 	bucketCount = int(6 * time.Hour / bucketSpan)
 )
 
-// Key names what a budget belongs to.
+// Key identifies an error budget.
 type Key struct {
 	Service   string `json:"service"`
 	Workspace string `json:"workspace"`
 }
 
-// counts are the requests of one span.
+// counts are the requests of one bucket.
 type counts struct {
 	good int64
 	bad  int64
@@ -35,18 +35,17 @@
 	newestMinute int64
 }
 
-// Recorder counts requests in memory. Its history goes with the daemon; the
-// metrics carry the long windows.
+// Recorder counts requests in memory. It is safe for concurrent use. Its counts are lost when the
+// daemon exits; longer windows are computed from the metrics.
 type Recorder struct {
 	mu     sync.Mutex
 	series map[Key]*series
 }
 
-// NewRecorder returns an empty recorder.
+// NewRecorder returns an empty Recorder.
 func NewRecorder() *Recorder { return &Recorder{series: map[Key]*series{}} }
 
-// Record counts one request. The objective is the share of requests that has
-// to be good.
+// Record counts one request. The objective is the share of requests that must be good.
 func (r *Recorder) Record(key Key, objective float64, good bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,7 +65,7 @@
 	bucket.bad++
 }
 
-// advance clears the buckets between the newest minute and this one.
+// advance clears the buckets after the newest one, up to the given minute.
 func (s *series) advance(minute int64) {
 	if minute-s.newestMinute >= int64(bucketCount) {
 		s.buckets = [bucketCount]counts{}
@@ -84,8 +83,7 @@
 	Bad  int64 `json:"bad"`
 }
 
-// Row is the record of one service and workspace, with a count for each of
-// Windows.
+// Row holds the counts of one service and workspace, one for each of Windows.
 type Row struct {
 	Key
 	Objective float64 `json:"objective"`
@@ -150,8 +148,8 @@
 	})
 }
 
-// Rate returns the burn rate: one spends the error budget exactly over the
-// period of the objective. It is zero without requests.
+// Rate returns the burn rate. A rate of 1 uses up the error budget exactly at the end of the
+// objective's period. The rate is zero without requests.
 func (c Count) Rate(objective float64) float64 {
 	total := c.Good + c.Bad
 	if total == 0 || objective >= 1 {
