--- a/internal/allowance/allowance.go
+++ b/internal/allowance/allowance.go
@@ -149,8 +149,8 @@
 			a.used.advance(now)
 		}
 		before := a.limit
-		a.rate = w.TokensPerSecond
-		a.limit = w.TokensPerSecond*l.tolerance.Window.Seconds() + w.Burst
+		a.rate = w.RatePerSecond
+		a.limit = w.RatePerSecond*l.tolerance.Window.Seconds() + w.Burst
 		if l.accounts[w.Name] != nil && a.limit != before {
 			changes = append(changes, Change{Workspace: w.Name, PreviousLimit: before, Limit: a.limit, Used: a.used.sum()})
 		}
--- a/internal/allowance/simulation_test.go
+++ b/internal/allowance/simulation_test.go
@@ -13,7 +13,7 @@
 var start = time.Unix(1000, 0)
 
 func testCatalog(rate, burst float64) *catalog.Catalog {
-	return (&catalog.Catalog{Workspaces: []catalog.Workspace{{Name: "w", TokensPerSecond: rate, Burst: burst, ByTokens: true}}}).Build()
+	return (&catalog.Catalog{Workspaces: []catalog.Workspace{{Name: "w", RatePerSecond: rate, Burst: burst, ByTokens: true}}}).Build()
 }
 
 const (
--- a/internal/backend/choice.go
+++ b/internal/backend/choice.go
@@ -93,10 +93,10 @@
 	}
 	took := c.firstEventAt.Sub(c.startedAt)
 	work := c.work
-	work.Unread += c.queuedTokens
-	work.Prompt += c.queuedTokens
+	work.PrefillTokens += c.queuedTokens
+	work.PromptTokens += c.queuedTokens
 	c.server.recordFirstEvent(engines.FirstEvent(work), took, c.firstEventAt)
-	engines.SawFirst(work, took)
+	engines.ObserveFirst(work, took)
 }
 
 // learnStream updates the engine model with the duration of the stream. The caller holds the lock.
@@ -107,7 +107,7 @@
 	}
 	tokens := c.events * max(1, c.view.traits[c.need.Service].EventTokens)
 	batch := min(c.Slots, (c.Running+c.server.load(c.lastEventAt).Running+1)/2)
-	engines.SawStream(tokens, c.need.Answer, batch, c.lastEventAt.Sub(c.firstEventAt))
+	engines.ObserveStream(tokens, c.need.Answer, batch, c.lastEventAt.Sub(c.firstEventAt))
 }
 
 // register adds the attempt to its server's load. Deferred attempts are counted separately, because
--- a/internal/backend/pace.go
+++ b/internal/backend/pace.go
@@ -14,7 +14,7 @@
 	}
 	if v.engines[service] == nil {
 		engines := pace.NewEngine(traits.FetchRate)
-		engines.Learn(v.unappliedFigures[service])
+		engines.MergeEstimates(v.unappliedFigures[service])
 		delete(v.unappliedFigures, service)
 		v.engines[service] = engines
 	}
@@ -23,19 +23,19 @@
 
 // EngineFigures returns the parameters that this daemon has learned of the engines' speed, by
 // service.
-func (v *View) EngineFigures() map[string]pace.EngineFigures {
+func (v *View) EngineFigures() map[string]pace.EngineEstimates {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	figures := make(map[string]pace.EngineFigures, len(v.engines))
+	figures := make(map[string]pace.EngineEstimates, len(v.engines))
 	for service, engines := range v.engines {
-		figures[service] = engines.Figures()
+		figures[service] = engines.Estimates()
 	}
 	return figures
 }
 
 // MergeEngineFigures merges the parameters that other daemons have learned. Those of a service that
 // is not configured yet are kept until it is.
-func (v *View) MergeEngineFigures(figures map[string]pace.EngineFigures) {
+func (v *View) MergeEngineFigures(figures map[string]pace.EngineEstimates) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for service, learned := range figures {
@@ -44,20 +44,20 @@
 			v.unappliedFigures[service] = learned
 			continue
 		}
-		engines.Learn(learned)
+		engines.MergeEstimates(learned)
 	}
 }
 
 // attemptLoad returns the predicted load of an attempt on the engines. The stream's speed is
 // predicted for a half-full batch.
-func attemptLoad(work pace.Work, answer pace.Answer, traits Traits, slots int, engines *pace.Engine) demand.Load {
-	duration := (engines.FirstEvent(work) + engines.Stream(answer, slots/2)).Seconds()
+func attemptLoad(work pace.Work, answer pace.AnswerSize, traits Traits, slots int, engines *pace.Engine) demand.Load {
+	duration := (engines.FirstEvent(work) + engines.StreamTime(answer, slots/2)).Seconds()
 	load := demand.Load{
-		Reading: engines.Read(work).Seconds(),
-		Memory:  duration * (float64(work.Prompt) + engines.Tokens(answer)) / float64(traits.CacheTokens),
+		Prefill: engines.PrefillTime(work).Seconds(),
+		Memory:  duration * (float64(work.PromptTokens) + engines.OutputTokens(answer)) / float64(traits.CacheTokens),
 	}
 	if slots > 0 {
-		load.Places = duration / float64(slots)
+		load.Batch = duration / float64(slots)
 	}
 	return load
 }
--- a/internal/backend/pick.go
+++ b/internal/backend/pick.go
@@ -18,7 +18,7 @@
 	Parts        []PromptPart
 	// Answer is the caller's information on the size of the answer. Resumed is set if the caller
 	// already has the first part of the answer.
-	Answer  pace.Answer
+	Answer  pace.AnswerSize
 	Resumed bool
 	// Target is the route's target for the time to the first event.
 	Target time.Duration
@@ -86,12 +86,12 @@
 	s := v.servers[picked.Server.ID]
 	work := s.work(prompt, traits, need)
 	choice := &Choice{
-		Entry: s.Entry, Wait: picked.Wait, IdleWait: picked.Server.IdleWait, PrefillTokens: work.Unread, FetchFrom: prompt.fetchSource(s), Running: picked.Server.Running,
+		Entry: s.Entry, Wait: picked.Wait, IdleWait: picked.Server.IdleWait, PrefillTokens: work.PrefillTokens, FetchFrom: prompt.fetchSource(s), Running: picked.Server.Running,
 		Candidate: candidate, view: v, server: s, need: need, work: work, queuedTokens: s.load(now).PendingTokens, prefillPending: true, startedAt: now, admittedAt: admitted,
 	}
 	if engines != nil {
-		choice.Calibrated = engines.Known()
-		choice.LongPrefill = isLongPrefill(engines.Read(work), need.Target)
+		choice.Calibrated = engines.Calibrated()
+		choice.LongPrefill = isLongPrefill(engines.PrefillTime(work), need.Target)
 		choice.Load = attemptLoad(work, need.Answer, traits, s.Slots, engines)
 	}
 	choice.register()
@@ -107,7 +107,7 @@
 		}
 		rs := s.routeServer(s.work(prompt, traits, need), engines, now)
 		if need.Deferred && engines != nil {
-			rs.Queue += engines.Queue(s.deferredTokens)
+			rs.Queue += engines.QueueTime(s.deferredTokens)
 		}
 		rs.CrossZoneLatency = v.crossZoneLatency(s.Zone, need.Zone)
 		rs.Leaving = s.backingOff(now)
@@ -160,10 +160,10 @@
 
 // work returns the work of an attempt on the server's engine.
 func (s *server) work(prompt placement, traits Traits, need Need) pace.Work {
-	work := pace.Work{Prompt: need.PromptTokens, Unread: need.PromptTokens}
+	work := pace.Work{PromptTokens: need.PromptTokens, PrefillTokens: need.PromptTokens}
 	if traits.CacheTokens > 0 {
 		cached, copied := prompt.cachedAndFetched(s)
-		work.Unread, work.Copied = max(0, need.PromptTokens-cached-copied), copied
+		work.PrefillTokens, work.CopiedTokens = max(0, need.PromptTokens-cached-copied), copied
 	}
 	return work
 }
@@ -180,7 +180,7 @@
 	}
 	if engines != nil {
 		slowdown := s.slowdownFactor(now)
-		rs.Queue = time.Duration(slowdown * float64(engines.Queue(load.PendingTokens)))
+		rs.Queue = time.Duration(slowdown * float64(engines.QueueTime(load.PendingTokens)))
 		rs.IdleWait = time.Duration(slowdown * float64(engines.FirstEvent(work)))
 	}
 	return rs
--- a/internal/callerapi/answer.go
+++ b/internal/callerapi/answer.go
@@ -104,7 +104,7 @@
 		if err != nil {
 			return newProblem(http.StatusBadRequest, status.Outcome, "Last-Event-ID: "+err.Error()).Err()
 		}
-		if !spec.Continues(from) {
+		if !spec.CanResumeFrom(from) {
 			return newProblem(http.StatusConflict, status.Outcome, "the answer was begun again: read it without Last-Event-ID").Err()
 		}
 		spec.Stream = spec.Kind != request.KindPlain
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -13,47 +13,47 @@
 )
 
 const (
-	// mostReading is the share of the time that engines should spend on reading prompts:
+	// maxPrefillUtilization is the share of the time that engines should spend on reading prompts:
 	// above, prompts wait longer than they take to be read.
-	mostReading = 0.6
-	// mostPlaces is the share of the places in their batches that should be taken.
+	maxPrefillUtilization = 0.6
+	// maxBatchUtilization is the share of the places in their batches that should be taken.
 	// Answers differ in length, and daemons know of each other's with a delay.
-	mostPlaces = 0.5
-	// mostMemory is the share of the memory that running requests should take. The rest
+	maxBatchUtilization = 0.5
+	// maxMemoryUtilization is the share of the memory that running requests should take. The rest
 	// caches parts of prompts.
-	mostMemory = 0.6
-	// mostLoss bounds by how much a zone's loss is prepared for. With two zones half of
+	maxMemoryUtilization = 0.6
+	// maxZoneLossFactor bounds by how much a zone's loss is prepared for. With two zones half of
 	// the servers go at once, and twice as many would idle all the time.
-	mostLoss = 1.5
-	// manyFactor times what is needed beyond few engines is ordered: requests then look
+	maxZoneLossFactor = 1.5
+	// largeFleetFactor times what is needed beyond few engines is ordered: requests then look
 	// at a few of them only, and what daemons know of them is older. On a grown quiet day
 	// until second 34, a factor of 1 left 17.6% of the streams late and 1.33 8.9%.
-	manyFactor = 1.43
-	// few is the number of engines up to which all are looked at.
-	few = 16
-	// spare is the number of servers beyond that.
-	spare = 1.0
+	largeFleetFactor = 1.43
+	// maxFullScan is the number of engines up to which all are looked at.
+	maxFullScan = 16
+	// spareEngines is the number of servers beyond that.
+	spareEngines = 1.0
 )
 
-// engines returns the number of engines for a load in a deployment with so many zones.
+// requiredEngines returns the number of engines for a load in a deployment with so many zones.
 // The resource that binds decides, so that the rest of the engines carries the load
 // when a zone is lost, until others have booted.
-func engines(load demand.Load, zones int) int {
-	busy := max(load.Reading/mostReading, load.Places/mostPlaces, load.Memory/mostMemory)
-	needed := busy * lossFactor(zones)
-	if needed > few {
-		needed = few + (needed-few)*manyFactor
+func requiredEngines(load demand.Load, zones int) int {
+	busy := max(load.Prefill/maxPrefillUtilization, load.Batch/maxBatchUtilization, load.Memory/maxMemoryUtilization)
+	needed := busy * zoneLossFactor(zones)
+	if needed > maxFullScan {
+		needed = maxFullScan + (needed-maxFullScan)*largeFleetFactor
 	}
-	return int(math.Ceil(needed + spare))
+	return int(math.Ceil(needed + spareEngines))
 }
 
-// lossFactor is by how much a fleet spread over so many zones is larger than what is
+// zoneLossFactor is by how much a fleet spread over so many zones is larger than what is
 // left of it when one is lost.
-func lossFactor(zones int) float64 {
+func zoneLossFactor(zones int) float64 {
 	if zones < 2 {
 		return 1
 	}
-	return min(mostLoss, float64(zones)/float64(zones-1))
+	return min(maxZoneLossFactor, float64(zones)/float64(zones-1))
 }
 
 // Zone is what is known of a service in one zone.
@@ -66,8 +66,8 @@
 	// callers ask of them.
 	OnDemandAtLimit    int
 	ReclaimableAtLimit int
-	// Dry is set while the cloud has no reclaimable servers to give here.
-	Dry bool
+	// ReclaimableExhausted is set while the cloud has no reclaimable servers to give here.
+	ReclaimableExhausted bool
 }
 
 // State is what a plan is made from.
@@ -76,11 +76,11 @@
 	Zones   []Zone
 	// Load is the number of servers that the present demand keeps busy.
 	Load demand.Load
-	// Least is the number of servers to have whatever the load.
-	Least int
-	// Wave is set while reclaimable servers are being taken away in some zone, or were
+	// MinServers is the number of servers to have whatever the load.
+	MinServers int
+	// ReclaimWave is set while reclaimable servers are being taken away in some zone, or were
 	// lately: reclaims come in waves, one zone after the other.
-	Wave bool
+	ReclaimWave bool
 }
 
 // Target is the number of servers that a zone should have.
@@ -98,54 +98,54 @@
 	slices.SortFunc(zones, func(a, b Zone) int {
 		return cmp.Or(cmp.Compare(s.Scaling.ZonePrices[a.Name], s.Scaling.ZonePrices[b.Name]), cmp.Compare(a.Name, b.Name))
 	})
-	needed := max(s.Least, engines(s.Load, len(s.Zones)))
+	needed := max(s.MinServers, requiredEngines(s.Load, len(s.Zones)))
 	targets := make([]Target, len(zones))
 	for i, z := range zones {
-		targets[i] = Target{Zone: z.Name, OnDemand: base(s, i, needed)}
+		targets[i] = Target{Zone: z.Name, OnDemand: baseOnDemand(s, i, needed)}
 	}
-	spreadReclaimable(s, targets, needed-total(targets))
+	spreadReclaimable(s, targets, needed-totalServers(targets))
 	expected := 0
 	for i, z := range zones {
-		expected += targets[i].OnDemand + expectable(z, targets[i])
+		expected += targets[i].OnDemand + expectedReclaimable(z, targets[i])
 	}
-	addOnDemand(s.Scaling.Max, zones, targets, worthOnDemand(s, needed)-expected)
+	addOnDemand(s.Scaling.MaxPerZone, zones, targets, substitutionTarget(s, needed)-expected)
 	return targets
 }
 
-// worthOnDemand is the number of servers up to which some on demand stand in for
+// substitutionTarget is the number of servers up to which some on demand stand in for
 // reclaimable ones that are not to be had. What was found, before the demand is known, is
 // kept at the price of reclaimable servers, where there are such.
-func worthOnDemand(s State, needed int) int {
-	if s.Scaling.SpotPrice > 0 {
-		return engines(s.Load, len(s.Zones))
+func substitutionTarget(s State, needed int) int {
+	if s.Scaling.SpotPriceRatio > 0 {
+		return requiredEngines(s.Load, len(s.Zones))
 	}
 	return needed
 }
 
-// calmBase is the number of zones with a server on demand while nothing is reclaimed:
+// onDemandZones is the number of zones with a server on demand while nothing is reclaimed:
 // what is left if all reclaimable servers go at once.
-const calmBase = 1
+const onDemandZones = 1
 
-// soleShare is the part of the servers needed that is on demand where there is one zone
+// singleZoneOnDemandShare is the part of the servers needed that is on demand where there is one zone
 // alone: when its reclaimable servers go, nothing else is left.
-const soleShare = 0.5
+const singleZoneOnDemandShare = 0.5
 
-// base returns the number of servers on demand of the zone in a place by price. During
+// baseOnDemand returns the number of servers on demand of the zone in a place by price. During
 // a wave of reclaims each zone has one, so that it can serve when its reclaimable
 // servers go too; before, they would cost several times as much and do nothing that
 // the reclaimable ones of other zones do not.
-func base(s State, place, needed int) int {
-	if len(s.Zones) == 1 && s.Scaling.SpotPrice > 0 {
-		return min(s.Scaling.Max, max(1, s.Scaling.Min, int(math.Ceil(soleShare*float64(needed)))))
+func baseOnDemand(s State, place, needed int) int {
+	if len(s.Zones) == 1 && s.Scaling.SpotPriceRatio > 0 {
+		return min(s.Scaling.MaxPerZone, max(1, s.Scaling.MinPerZone, int(math.Ceil(singleZoneOnDemandShare*float64(needed)))))
 	}
-	if s.Wave || s.Scaling.SpotPrice <= 0 || place < calmBase {
-		return max(1, s.Scaling.Min)
+	if s.ReclaimWave || s.Scaling.SpotPriceRatio <= 0 || place < onDemandZones {
+		return max(1, s.Scaling.MinPerZone)
 	}
 	return 0
 }
 
-// total counts the servers of all targets.
-func total(targets []Target) int {
+// totalServers counts the servers of all targets.
+func totalServers(targets []Target) int {
 	sum := 0
 	for _, t := range targets {
 		sum += t.OnDemand + t.Reclaimable
@@ -156,19 +156,19 @@
 // spreadReclaimable asks for the same number of reclaimable servers in every
 // zone, at least one each.
 func spreadReclaimable(s State, targets []Target, wanted int) {
-	if s.Scaling.SpotPrice <= 0 {
+	if s.Scaling.SpotPriceRatio <= 0 {
 		return
 	}
 	each := max(1, int(math.Ceil(float64(wanted)/float64(len(targets)))))
 	for i := range targets {
-		most, least := s.Scaling.Max-targets[i].OnDemand, s.Scaling.Min-targets[i].OnDemand
+		most, least := s.Scaling.MaxPerZone-targets[i].OnDemand, s.Scaling.MinPerZone-targets[i].OnDemand
 		targets[i].Reclaimable = max(0, min(max(each, least), most))
 	}
 }
 
-// expectable is the number of reclaimable servers that a zone will have.
-func expectable(z Zone, t Target) int {
-	if z.Dry {
+// expectedReclaimable is the number of reclaimable servers that a zone will have.
+func expectedReclaimable(z Zone, t Target) int {
+	if z.ReclaimableExhausted {
 		return min(z.Reclaimable, t.Reclaimable)
 	}
 	return t.Reclaimable
@@ -179,7 +179,7 @@
 	for count > 0 {
 		added := false
 		for i := range targets {
-			if count > 0 && targets[i].OnDemand+expectable(zones[i], targets[i]) < most {
+			if count > 0 && targets[i].OnDemand+expectedReclaimable(zones[i], targets[i]) < most {
 				targets[i].OnDemand++
 				count--
 				added = true
--- a/internal/capacity/planner.go
+++ b/internal/capacity/planner.go
@@ -9,35 +9,35 @@
 )
 
 const (
-	// confirmMargin is how much longer than the boot time an order may take to
+	// orderConfirmMargin is how much longer than the boot time an order may take to
 	// show in the list before it is given again.
-	confirmMargin = 3 * time.Second
-	// dryFor is how long no reclaimable servers are asked for in a zone after
+	orderConfirmMargin = 3 * time.Second
+	// exhaustedRetryDelay is how long no reclaimable servers are asked for in a zone after
 	// the cloud had none.
-	dryFor = 4 * time.Second
-	// fallBoots times the boot time is how long fewer reclaimable servers must have been
+	exhaustedRetryDelay = 4 * time.Second
+	// scaleDownBootFactor times the boot time is how long fewer reclaimable servers must have been
 	// wanted before fewer are asked for: demand is uneven, and a server that leaves takes
 	// its cache along, and its successor boots before it reads all that again. Half of
 	// that (6 s at 4 s of boot) cost 0.015 on the newest users' days, twice brought
-	// nothing. leastFall and mostFall bound it.
-	fallBoots = 3
-	leastFall = 6 * time.Second
-	mostFall  = 30 * time.Second
-	// fallDelayOnDemand is the same for servers on demand, which cost several times as
+	// nothing. minScaleDownDelay and maxScaleDownDelay bound it.
+	scaleDownBootFactor = 3
+	minScaleDownDelay   = 6 * time.Second
+	maxScaleDownDelay   = 30 * time.Second
+	// onDemandScaleDownDelay is the same for servers on demand, which cost several times as
 	// much to keep.
-	fallDelayOnDemand = 2 * time.Second
-	// learnFor is how long after the first request the demand is not known yet: two
+	onDemandScaleDownDelay = 2 * time.Second
+	// demandWarmup is how long after the first request the demand is not known yet: two
 	// times the memory of the meters.
-	learnFor = 6 * time.Second
-	// lookFor is how long a planner looks at the servers before it orders any,
+	demandWarmup = 6 * time.Second
+	// discoveryPeriod is how long a planner looks at the servers before it orders any,
 	// unless there is demand: when a deployment starts, its servers are listed one
 	// after the other within two of their heartbeats (1.2 s).
-	lookFor = 3 * time.Second
-	// foundShare is the part of the servers found that is kept until then. In the
+	discoveryPeriod = 3 * time.Second
+	// initialFleetShare is the part of the servers found that is kept until then. In the
 	// model's grown day, half of those set up at the start are busy at 0.4.
-	foundShare = 1.0
-	// unansweredFor is how soon an order without an answer is given again.
-	unansweredFor = 1500 * time.Millisecond
+	initialFleetShare = 1.0
+	// unansweredRetryDelay is how soon an order without an answer is given again.
+	unansweredRetryDelay = 1500 * time.Millisecond
 )
 
 // Market is one kind of server in one zone.
@@ -59,8 +59,8 @@
 
 // The answers to an order.
 const (
-	// ReplyTaken: the order is being carried out.
-	ReplyTaken Reply = iota
+	// ReplyAccepted: the order is being carried out.
+	ReplyAccepted Reply = iota
 	// ReplyDeclined: there are no such servers, or another holder acts.
 	ReplyDeclined
 	// ReplyNone: no answer came; the order may have been taken.
@@ -70,97 +70,97 @@
 // Planner turns the plans for one service into orders over time: not each
 // change of a plan is worth an order, and not each order takes effect.
 type Planner struct {
-	given map[Market]given
-	held  map[Market]wanted
-	// dry is until when the cloud is taken to have no servers of a market.
-	dry map[Market]time.Time
-	// found is the highest number of servers seen before there was any demand, asked
+	lastOrders map[Market]placedOrder
+	heldCounts map[Market]heldCount
+	// exhaustedUntil is until when the cloud is taken to have no servers of a market.
+	exhaustedUntil map[Market]time.Time
+	// initialFleet is the highest number of servers seen before there was any demand, asked
 	// when there was first some.
-	found int
-	asked time.Time
-	// since is when the planner began to look.
-	since time.Time
-	// succeeds is set for a planner that takes over from an earlier holder's.
-	succeeds bool
-	// reclaimed is when a zone last had no reclaimable servers to give.
-	reclaimed time.Time
+	initialFleet  int
+	firstDemandAt time.Time
+	// startedAt is when the planner began to look.
+	startedAt time.Time
+	// tookOver is set for a planner that takes over from an earlier holder's.
+	tookOver bool
+	// lastReclaimAt is when a zone last had no reclaimable servers to give.
+	lastReclaimAt time.Time
 }
 
-// given is the last order in a market.
-type given struct {
+// placedOrder is the last order in a market.
+type placedOrder struct {
 	count    int
-	at       time.Time
-	answered bool
+	placedAt time.Time
+	accepted bool
 }
 
-// wanted is the number of servers that is held on to, and since when.
-type wanted struct {
+// heldCount is the number of servers that is held on to, and since when.
+type heldCount struct {
 	count int
-	at    time.Time
+	since time.Time
 }
 
 // NewPlanner returns a planner that knows of no earlier order.
 func NewPlanner() *Planner {
-	return &Planner{given: map[Market]given{}, held: map[Market]wanted{}, dry: map[Market]time.Time{}}
+	return &Planner{lastOrders: map[Market]placedOrder{}, heldCounts: map[Market]heldCount{}, exhaustedUntil: map[Market]time.Time{}}
 }
 
 // Orders returns the orders to give now. Each must be followed by Answered.
 func (p *Planner) Orders(s State, now time.Time) []Order {
 	for i := range s.Zones {
-		if _, dry := p.dry[Market{s.Zones[i].Name, true}]; dry {
-			s.Zones[i].Dry = true
+		if _, dry := p.exhaustedUntil[Market{s.Zones[i].Name, true}]; dry {
+			s.Zones[i].ReclaimableExhausted = true
 		}
 	}
-	s.Wave = p.wave(s, now)
-	s.Least = p.least(s, now)
-	if p.since.IsZero() {
-		p.since = now
+	s.ReclaimWave = p.inReclaimWave(s, now)
+	s.MinServers = p.minServers(s, now)
+	if p.startedAt.IsZero() {
+		p.startedAt = now
 	}
-	if p.asked.IsZero() && now.Sub(p.since) < lookFor {
+	if p.firstDemandAt.IsZero() && now.Sub(p.startedAt) < discoveryPeriod {
 		return nil
 	}
 	return p.OrdersFor(Plan(s), s, now)
 }
 
-// least returns the number of servers to keep until the demand is known: a part of
+// minServers returns the number of servers to keep until the demand is known: a part of
 // those that were found, which somebody took for enough.
-func (p *Planner) least(s State, now time.Time) int {
-	if p.since.IsZero() && s.Load != (demand.Load{}) {
+func (p *Planner) minServers(s State, now time.Time) int {
+	if p.startedAt.IsZero() && s.Load != (demand.Load{}) {
 		// An earlier holder has given up its orders; the demand is known.
-		p.asked = now.Add(-learnFor)
-		p.succeeds = true
+		p.firstDemandAt = now.Add(-demandWarmup)
+		p.tookOver = true
 	}
-	if p.asked.IsZero() {
-		if len(p.given) == 0 {
+	if p.firstDemandAt.IsZero() {
+		if len(p.lastOrders) == 0 {
 			// Later, servers that are to be replaced and those that replace them are there.
-			p.found = max(p.found, s.present())
+			p.initialFleet = max(p.initialFleet, s.presentServers())
 		}
 		if s.Load != (demand.Load{}) {
-			p.asked = now
+			p.firstDemandAt = now
 		}
 	}
-	if p.asked.IsZero() || now.Sub(p.asked) < learnFor {
-		return int(math.Ceil(foundShare * float64(p.found)))
+	if p.firstDemandAt.IsZero() || now.Sub(p.firstDemandAt) < demandWarmup {
+		return int(math.Ceil(initialFleetShare * float64(p.initialFleet)))
 	}
 	return 0
 }
 
-// waveFor is how long after a zone last had none to give a wave of reclaims is taken to
+// reclaimWaveDuration is how long after a zone last had none to give a wave of reclaims is taken to
 // go on: the next zone's turn comes some seconds later, and a server takes as long to
 // boot.
-const waveFor = 15 * time.Second
+const reclaimWaveDuration = 15 * time.Second
 
-// wave reports whether reclaimable servers are being taken away, or were lately.
-func (p *Planner) wave(s State, now time.Time) bool {
+// inReclaimWave reports whether reclaimable servers are being taken away, or were lately.
+func (p *Planner) inReclaimWave(s State, now time.Time) bool {
 	for _, z := range s.Zones {
-		if z.Dry {
-			p.reclaimed = now
+		if z.ReclaimableExhausted {
+			p.lastReclaimAt = now
 		}
 	}
-	return !p.reclaimed.IsZero() && now.Sub(p.reclaimed) < waveFor
+	return !p.lastReclaimAt.IsZero() && now.Sub(p.lastReclaimAt) < reclaimWaveDuration
 }
 
-func (s *State) present() int {
+func (s *State) presentServers() int {
 	sum := 0
 	for _, z := range s.Zones {
 		sum += z.OnDemand + z.Reclaimable
@@ -173,19 +173,19 @@
 	var orders []Order
 	for _, target := range targets {
 		present := s.zone(target.Zone)
-		target.OnDemand = untilReplaced(target, present, s.Scaling.BootTime)
-		target = besideLimited(target, present, s.Scaling.Max)
-		orders = p.add(orders, Order{Market{target.Zone, false}, target.OnDemand, present.OnDemand}, s.Scaling, now)
-		if s.Scaling.SpotPrice > 0 {
-			orders = p.add(orders, Order{Market{target.Zone, true}, target.Reclaimable, present.Reclaimable}, s.Scaling, now)
+		target.OnDemand = onDemandUntilReplaced(target, present, s.Scaling.BootTime)
+		target = withLimitReplacements(target, present, s.Scaling.MaxPerZone)
+		orders = p.appendOrder(orders, Order{Market{target.Zone, false}, target.OnDemand, present.OnDemand}, s.Scaling, now)
+		if s.Scaling.SpotPriceRatio > 0 {
+			orders = p.appendOrder(orders, Order{Market{target.Zone, true}, target.Reclaimable, present.Reclaimable}, s.Scaling, now)
 		}
 	}
 	return orders
 }
 
-// besideLimited adds a server for each that takes fewer requests than it is asked for, as far as
+// withLimitReplacements adds a server for each that takes fewer requests than it is asked for, as far as
 // the zone may have so many.
-func besideLimited(target Target, present Zone, most int) Target {
+func withLimitReplacements(target Target, present Zone, most int) Target {
 	room := max(0, most-target.OnDemand-target.Reclaimable)
 	reclaimable := min(room, present.ReclaimableAtLimit)
 	target.Reclaimable += reclaimable
@@ -202,23 +202,23 @@
 	return Zone{Name: name}
 }
 
-// add appends an order when it differs from the last one, or when that one has
+// appendOrder appends an order when it differs from the last one, or when that one has
 // not taken effect in time.
-func (p *Planner) add(orders []Order, order Order, scaling catalog.Scaling, now time.Time) []Order {
-	order.Count = p.hold(order, scaling.BootTime, now)
-	last, known := p.given[order.Market]
-	wait := scaling.BootTime + confirmMargin
-	if !last.answered {
-		wait = unansweredFor
+func (p *Planner) appendOrder(orders []Order, order Order, scaling catalog.Scaling, now time.Time) []Order {
+	order.Count = p.delayScaleDown(order, scaling.BootTime, now)
+	last, known := p.lastOrders[order.Market]
+	wait := scaling.BootTime + orderConfirmMargin
+	if !last.accepted {
+		wait = unansweredRetryDelay
 	}
-	settled := order.Present == order.Count && last.answered
+	settled := order.Present == order.Count && last.accepted
 	if order.Present >= order.Count {
-		delete(p.dry, order.Market)
+		delete(p.exhaustedUntil, order.Market)
 	}
 	repeated := known && last.count == order.Count
-	retry, dry := p.dry[order.Market]
+	retry, dry := p.exhaustedUntil[order.Market]
 	switch {
-	case repeated && (settled || now.Sub(last.at) < wait):
+	case repeated && (settled || now.Sub(last.placedAt) < wait):
 	case !known && order.Present == order.Count:
 	case dry && now.Before(retry):
 	default:
@@ -227,55 +227,55 @@
 	return orders
 }
 
-// hold returns the number to ask for: a higher one at once, a lower one when it
+// delayScaleDown returns the number to ask for: a higher one at once, a lower one when it
 // has been wanted for a while.
-func (p *Planner) hold(order Order, boot time.Duration, now time.Time) int {
-	delay := fallDelayOnDemand
+func (p *Planner) delayScaleDown(order Order, boot time.Duration, now time.Time) int {
+	delay := onDemandScaleDownDelay
 	if order.Reclaimable {
-		delay = fallDelay(boot)
+		delay = reclaimableScaleDownDelay(boot)
 	}
-	held, known := p.held[order.Market]
-	if !known && p.succeeds && order.Present > order.Count {
+	held, known := p.heldCounts[order.Market]
+	if !known && p.tookOver && order.Present > order.Count {
 		// Why an earlier holder wanted them is not known: a zone that has none to give
 		// shows when it is asked.
-		held, known = wanted{count: order.Present, at: now}, true
-		p.held[order.Market] = held
+		held, known = heldCount{count: order.Present, since: now}, true
+		p.heldCounts[order.Market] = held
 	}
-	if !known || order.Count >= held.count || now.Sub(held.at) >= delay {
-		p.held[order.Market] = wanted{count: order.Count, at: now}
+	if !known || order.Count >= held.count || now.Sub(held.since) >= delay {
+		p.heldCounts[order.Market] = heldCount{count: order.Count, since: now}
 		return order.Count
 	}
 	return held.count
 }
 
-// longBoot is the boot time from which on servers on demand stay until those that
+// longBootTime is the boot time from which on servers on demand stay until those that
 // replace them are there. A gap of 4 s costs less than to keep them (paired, 4 seeds a
 // day: -0.001 and -0.009 on two users' days); one of 20 s lost a third of the requests
 // in the model.
-const longBoot = 8 * time.Second
+const longBootTime = 8 * time.Second
 
-// untilReplaced returns the number of servers on demand to keep in a zone while
+// onDemandUntilReplaced returns the number of servers on demand to keep in a zone while
 // reclaimable ones that are to replace them boot.
-func untilReplaced(target Target, present Zone, boot time.Duration) int {
+func onDemandUntilReplaced(target Target, present Zone, boot time.Duration) int {
 	missing := target.Reclaimable - present.Reclaimable
-	if boot < longBoot || missing <= 0 || present.Dry {
+	if boot < longBootTime || missing <= 0 || present.ReclaimableExhausted {
 		return target.OnDemand
 	}
 	return max(target.OnDemand, min(present.OnDemand, target.OnDemand+missing))
 }
 
-// fallDelay returns how long fewer reclaimable servers must have been wanted.
-func fallDelay(boot time.Duration) time.Duration {
-	return max(leastFall, min(mostFall, fallBoots*boot))
+// reclaimableScaleDownDelay returns how long fewer reclaimable servers must have been wanted.
+func reclaimableScaleDownDelay(boot time.Duration) time.Duration {
+	return max(minScaleDownDelay, min(maxScaleDownDelay, scaleDownBootFactor*boot))
 }
 
-// Answered takes over how the cloud answered an order.
-func (p *Planner) Answered(order Order, reply Reply, now time.Time) {
-	p.given[order.Market] = given{count: order.Count, at: now, answered: reply == ReplyTaken}
+// RecordReply takes over how the cloud answered an order.
+func (p *Planner) RecordReply(order Order, reply Reply, now time.Time) {
+	p.lastOrders[order.Market] = placedOrder{count: order.Count, placedAt: now, accepted: reply == ReplyAccepted}
 	switch reply {
 	case ReplyDeclined:
-		p.dry[order.Market] = now.Add(dryFor)
-	case ReplyTaken:
-		delete(p.dry, order.Market)
+		p.exhaustedUntil[order.Market] = now.Add(exhaustedRetryDelay)
+	case ReplyAccepted:
+		delete(p.exhaustedUntil, order.Market)
 	}
 }
--- a/internal/capacity/planner_test.go
+++ b/internal/capacity/planner_test.go
@@ -9,27 +9,27 @@
 	"github.com/plankridge/plankridge/internal/demand"
 )
 
-var now = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-// answer gives the orders of a moment and lets the cloud take them.
-func answer(p *Planner, s State, at time.Time, reply Reply) []Order {
+// orderAndReply gives the orders of a moment and lets the cloud take them.
+func orderAndReply(p *Planner, s State, at time.Time, reply Reply) []Order {
 	orders := p.Orders(s, at)
 	for _, o := range orders {
-		p.Answered(o, reply, at)
+		p.RecordReply(o, reply, at)
 	}
 	return orders
 }
 
-// duringWave returns a planner that has just seen servers reclaimed: each zone keeps a
+// plannerInReclaimWave returns a planner that has just seen servers reclaimed: each zone keeps a
 // server on demand.
-func duringWave(at time.Time) *Planner {
+func plannerInReclaimWave(at time.Time) *Planner {
 	p := NewPlanner()
-	p.reclaimed = at
+	p.lastReclaimAt = at
 	return p
 }
 
-func present(onDemand, reclaimable int) State {
-	s := State{Scaling: scaling, Zones: zones(), Load: reading(0.5)}
+func stateWithServers(onDemand, reclaimable int) State {
+	s := State{Scaling: testScaling, Zones: testZones(), Load: prefillLoad(0.5)}
 	s.Scaling.BootTime = 4 * time.Second
 	for i := range s.Zones {
 		s.Zones[i].OnDemand, s.Zones[i].Reclaimable = onDemand, reclaimable
@@ -37,123 +37,123 @@
 	return s
 }
 
-func TestOrderIsGivenOnceWhileItTakesEffect(t *testing.T) {
+func TestPendingOrderIsNotRepeated(t *testing.T) {
 	c := qt.New(t)
-	p := duringWave(now)
-	c.Check(answer(p, present(1, 0), now, ReplyTaken), qt.HasLen, 3)
-	c.Check(answer(p, present(1, 0), now.Add(6*time.Second), ReplyTaken), qt.HasLen, 0)
-	c.Check(answer(p, present(1, 0), now.Add(8*time.Second), ReplyTaken), qt.HasLen, 3, qt.Commentf("nothing has come of them"))
+	p := plannerInReclaimWave(startTime)
+	c.Check(orderAndReply(p, stateWithServers(1, 0), startTime, ReplyAccepted), qt.HasLen, 3)
+	c.Check(orderAndReply(p, stateWithServers(1, 0), startTime.Add(6*time.Second), ReplyAccepted), qt.HasLen, 0)
+	c.Check(orderAndReply(p, stateWithServers(1, 0), startTime.Add(8*time.Second), ReplyAccepted), qt.HasLen, 3, qt.Commentf("nothing has come of them"))
 }
 
-func TestOrderWithoutAnswerIsGivenAgainSoon(t *testing.T) {
+func TestUnansweredOrderIsRetried(t *testing.T) {
 	c := qt.New(t)
-	p := duringWave(now)
-	answer(p, present(1, 0), now, ReplyNone)
-	c.Check(answer(p, present(1, 0), now.Add(time.Second), ReplyTaken), qt.HasLen, 0)
-	c.Check(answer(p, present(1, 0), now.Add(unansweredFor), ReplyTaken), qt.HasLen, 3)
+	p := plannerInReclaimWave(startTime)
+	orderAndReply(p, stateWithServers(1, 0), startTime, ReplyNone)
+	c.Check(orderAndReply(p, stateWithServers(1, 0), startTime.Add(time.Second), ReplyAccepted), qt.HasLen, 0)
+	c.Check(orderAndReply(p, stateWithServers(1, 0), startTime.Add(unansweredRetryDelay), ReplyAccepted), qt.HasLen, 3)
 }
 
 func TestDeclinedOrderIsNotRepeatedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	p := NewPlanner()
-	answer(p, present(1, 0), now, ReplyDeclined)
-	for _, o := range answer(p, present(1, 0), now.Add(time.Second), ReplyTaken) {
+	orderAndReply(p, stateWithServers(1, 0), startTime, ReplyDeclined)
+	for _, o := range orderAndReply(p, stateWithServers(1, 0), startTime.Add(time.Second), ReplyAccepted) {
 		c.Check(o.Reclaimable, qt.IsFalse, qt.Commentf("%+v", o))
 	}
 }
 
-func TestFewerAreAskedForAfterAWhile(t *testing.T) {
+func TestScaleDownIsDelayed(t *testing.T) {
 	c := qt.New(t)
 	p := NewPlanner()
-	busy := present(1, 2)
-	busy.Load = reading(0)
-	answer(p, busy, now.Add(-lookFor), ReplyTaken)
-	busy.Load = reading(3)
-	answer(p, busy, now, ReplyTaken)
-	calm := present(1, 2)
-	c.Check(answer(p, calm, now.Add(time.Second), ReplyTaken), qt.HasLen, 0)
-	fewer := answer(p, calm, now.Add(learnFor), ReplyTaken)
-	fewer = append(fewer, answer(p, calm, now.Add(learnFor+fallDelay(calm.Scaling.BootTime)), ReplyTaken)...)
+	busy := stateWithServers(1, 2)
+	busy.Load = prefillLoad(0)
+	orderAndReply(p, busy, startTime.Add(-discoveryPeriod), ReplyAccepted)
+	busy.Load = prefillLoad(3)
+	orderAndReply(p, busy, startTime, ReplyAccepted)
+	calm := stateWithServers(1, 2)
+	c.Check(orderAndReply(p, calm, startTime.Add(time.Second), ReplyAccepted), qt.HasLen, 0)
+	fewer := orderAndReply(p, calm, startTime.Add(demandWarmup), ReplyAccepted)
+	fewer = append(fewer, orderAndReply(p, calm, startTime.Add(demandWarmup+reclaimableScaleDownDelay(calm.Scaling.BootTime)), ReplyAccepted)...)
 	c.Check(len(fewer) > 0, qt.IsTrue)
 }
 
-func TestFleetThatWasFoundIsKeptUntilTheDemandIsKnown(t *testing.T) {
+func TestInitialFleetIsKeptUntilDemandIsKnown(t *testing.T) {
 	c := qt.New(t)
-	p := duringWave(now)
-	found := present(3, 0)
-	found.Load = reading(0)
-	p.Orders(found, now.Add(-time.Second))
+	p := plannerInReclaimWave(startTime)
+	found := stateWithServers(3, 0)
+	found.Load = prefillLoad(0)
+	p.Orders(found, startTime.Add(-time.Second))
 	total := func(at time.Time) int {
 		sum := 0
-		for _, target := range Plan(State{Scaling: found.Scaling, Zones: found.Zones, Load: found.Load, Least: p.least(found, at), Wave: true}) {
+		for _, target := range Plan(State{Scaling: found.Scaling, Zones: found.Zones, Load: found.Load, MinServers: p.minServers(found, at), ReclaimWave: true}) {
 			sum += target.OnDemand + target.Reclaimable
 		}
 		return sum
 	}
-	c.Check(total(now), qt.Equals, 9)
-	c.Check(total(now.Add(time.Minute)), qt.Equals, 9, qt.Commentf("nobody has asked for anything yet"))
-	found.Load = reading(0.5)
-	c.Check(total(now.Add(time.Minute)), qt.Equals, 9)
-	c.Check(total(now.Add(time.Minute+learnFor)), qt.Equals, 6)
+	c.Check(total(startTime), qt.Equals, 9)
+	c.Check(total(startTime.Add(time.Minute)), qt.Equals, 9, qt.Commentf("nobody has asked for anything yet"))
+	found.Load = prefillLoad(0.5)
+	c.Check(total(startTime.Add(time.Minute)), qt.Equals, 9)
+	c.Check(total(startTime.Add(time.Minute+demandWarmup)), qt.Equals, 6)
 }
 
-func TestNothingIsOrderedBeforeTheServersHaveBeenLookedAt(t *testing.T) {
+func TestNothingIsOrderedBeforeServersAreListed(t *testing.T) {
 	c := qt.New(t)
 	p := NewPlanner()
-	starting := present(0, 0)
-	starting.Load = reading(0)
-	c.Check(answer(p, starting, now, ReplyTaken), qt.HasLen, 0)
-	listed := present(3, 0)
-	listed.Load = reading(0)
-	c.Check(answer(p, listed, now.Add(time.Second), ReplyTaken), qt.HasLen, 0)
+	starting := stateWithServers(0, 0)
+	starting.Load = prefillLoad(0)
+	c.Check(orderAndReply(p, starting, startTime, ReplyAccepted), qt.HasLen, 0)
+	listed := stateWithServers(3, 0)
+	listed.Load = prefillLoad(0)
+	c.Check(orderAndReply(p, listed, startTime.Add(time.Second), ReplyAccepted), qt.HasLen, 0)
 	sum := 0
-	for _, o := range answer(p, listed, now.Add(lookFor), ReplyTaken) {
+	for _, o := range orderAndReply(p, listed, startTime.Add(discoveryPeriod), ReplyAccepted) {
 		sum += o.Count
 	}
 	c.Check(sum, qt.Equals, 10, qt.Commentf("one on demand in the cheapest zone, three reclaimable in each"))
 }
 
-// TestSuccessorOfAHolderKnowsTheDemand: what is there beyond the demand is given up, but
+// TestSuccessorScalesDownToDemand: what is there beyond the demand is given up, but
 // not before the successor has learned whether its predecessor had a reason.
-func TestSuccessorOfAHolderKnowsTheDemand(t *testing.T) {
+func TestSuccessorScalesDownToDemand(t *testing.T) {
 	c := qt.New(t)
-	p := duringWave(now)
-	c.Check(answer(p, present(3, 3), now, ReplyTaken), qt.HasLen, 0)
+	p := plannerInReclaimWave(startTime)
+	c.Check(orderAndReply(p, stateWithServers(3, 3), startTime, ReplyAccepted), qt.HasLen, 0)
 	asked := func(at time.Time, reclaimable bool) (sum int) {
-		for _, o := range answer(p, present(3, 3), at, ReplyTaken) {
+		for _, o := range orderAndReply(p, stateWithServers(3, 3), at, ReplyAccepted) {
 			if o.Reclaimable == reclaimable {
 				sum += o.Count
 			}
 		}
 		return sum
 	}
-	c.Check(asked(now.Add(fallDelayOnDemand), false), qt.Equals, 3, qt.Commentf("one on demand in each zone"))
-	c.Check(asked(now.Add(fallDelay(4*time.Second)), true), qt.Equals, 3, qt.Commentf("one reclaimable in each zone"))
+	c.Check(asked(startTime.Add(onDemandScaleDownDelay), false), qt.Equals, 3, qt.Commentf("one on demand in each zone"))
+	c.Check(asked(startTime.Add(reclaimableScaleDownDelay(4*time.Second)), true), qt.Equals, 3, qt.Commentf("one reclaimable in each zone"))
 }
 
-// TestSuccessorDoesNotGiveUpWhatStandsIn: the predecessor had ordered servers on demand
+// TestSuccessorKeepsOnDemandSubstitutes: the predecessor had ordered servers on demand
 // for zones without reclaimable ones, and lost the lease.
-func TestSuccessorDoesNotGiveUpWhatStandsIn(t *testing.T) {
+func TestSuccessorKeepsOnDemandSubstitutes(t *testing.T) {
 	c := qt.New(t)
 	p := NewPlanner()
-	s := present(3, 0)
-	s.Load = reading(3)
+	s := stateWithServers(3, 0)
+	s.Load = prefillLoad(3)
 	for tick := range 20 {
-		at := now.Add(time.Duration(tick) * scaleEvery)
+		at := startTime.Add(time.Duration(tick) * planInterval)
 		for _, o := range p.Orders(s, at) {
 			c.Check(o.Reclaimable, qt.IsTrue, qt.Commentf("%+v", o))
-			p.Answered(o, ReplyDeclined, at)
+			p.RecordReply(o, ReplyDeclined, at)
 		}
 	}
 }
 
-// TestWaveOfReclaimsBringsServersOnDemandEverywhere: before the next zone's turn comes,
+// TestReclaimWaveAddsOnDemandInEveryZone: before the next zone's turn comes,
 // and they go when the wave is over.
-func TestWaveOfReclaimsBringsServersOnDemandEverywhere(t *testing.T) {
+func TestReclaimWaveAddsOnDemandInEveryZone(t *testing.T) {
 	c := qt.New(t)
 	p := NewPlanner()
 	onDemand := func(s State, at time.Time) (zones int) {
-		s.Wave = p.wave(s, at)
+		s.ReclaimWave = p.inReclaimWave(s, at)
 		for _, target := range Plan(s) {
 			if target.OnDemand > 0 {
 				zones++
@@ -161,29 +161,29 @@
 		}
 		return zones
 	}
-	calm, hit := present(1, 2), present(1, 2)
-	hit.Zones[0].Dry, hit.Zones[0].Reclaimable = true, 0
-	c.Check(onDemand(calm, now), qt.Equals, 1)
-	c.Check(onDemand(hit, now), qt.Equals, 3)
-	c.Check(onDemand(calm, now.Add(waveFor-time.Second)), qt.Equals, 3)
-	c.Check(onDemand(calm, now.Add(waveFor)), qt.Equals, 1)
+	calm, hit := stateWithServers(1, 2), stateWithServers(1, 2)
+	hit.Zones[0].ReclaimableExhausted, hit.Zones[0].Reclaimable = true, 0
+	c.Check(onDemand(calm, startTime), qt.Equals, 1)
+	c.Check(onDemand(hit, startTime), qt.Equals, 3)
+	c.Check(onDemand(calm, startTime.Add(reclaimWaveDuration-time.Second)), qt.Equals, 3)
+	c.Check(onDemand(calm, startTime.Add(reclaimWaveDuration)), qt.Equals, 1)
 }
 
-// TestUnevenDemandDoesNotMoveTheFleet: demand that swings within seconds takes no
+// TestFluctuatingDemandDoesNotScaleDown: demand that swings within seconds takes no
 // server away that is wanted again before another one would have booted.
-func TestUnevenDemandDoesNotMoveTheFleet(t *testing.T) {
+func TestFluctuatingDemandDoesNotScaleDown(t *testing.T) {
 	c := qt.New(t)
 	p := NewPlanner()
-	s := present(1, 3)
-	s.Load = reading(3)
-	answer(p, s, now, ReplyTaken)
+	s := stateWithServers(1, 3)
+	s.Load = prefillLoad(3)
+	orderAndReply(p, s, startTime, ReplyAccepted)
 	fewer := 0
 	for tick := range 200 {
-		s.Load = reading(3)
+		s.Load = prefillLoad(3)
 		if tick/20%2 == 1 {
-			s.Load = reading(1.5)
+			s.Load = prefillLoad(1.5)
 		}
-		for _, o := range answer(p, s, now.Add(time.Duration(tick)*scaleEvery), ReplyTaken) {
+		for _, o := range orderAndReply(p, s, startTime.Add(time.Duration(tick)*planInterval), ReplyAccepted) {
 			if o.Reclaimable && o.Count < o.Present {
 				fewer++
 			}
@@ -192,18 +192,18 @@
 	c.Check(fewer, qt.Equals, 0)
 }
 
-// scaleEvery is how often the plan is made.
-const scaleEvery = 300 * time.Millisecond
+// planInterval is how often the plan is made.
+const planInterval = 300 * time.Millisecond
 
 // TestServersStayUntilTheirReplacementsHaveBooted: where servers boot for long.
 func TestServersStayUntilTheirReplacementsHaveBooted(t *testing.T) {
 	c := qt.New(t)
 	onDemand := func(boot time.Duration, reclaimable int) int {
-		s := present(3, reclaimable)
+		s := stateWithServers(3, reclaimable)
 		s.Scaling.BootTime = boot
 		sum := 0
 		for _, z := range s.Zones {
-			sum += untilReplaced(Target{Zone: z.Name, OnDemand: 1, Reclaimable: 2}, z, boot)
+			sum += onDemandUntilReplaced(Target{Zone: z.Name, OnDemand: 1, Reclaimable: 2}, z, boot)
 		}
 		return sum
 	}
@@ -213,29 +213,29 @@
 	c.Check(onDemand(4*time.Second, 0), qt.Equals, 3)
 }
 
-// TestReplacementsAreNotFound: servers found at the start and those that replace them are
+// TestReplacementsAreNotCountedInInitialFleet: servers found at the start and those that replace them are
 // there together for a while; the fleet found is no larger for that.
-func TestReplacementsAreNotFound(t *testing.T) {
+func TestReplacementsAreNotCountedInInitialFleet(t *testing.T) {
 	c := qt.New(t)
 	p := NewPlanner()
-	s := present(3, 0)
+	s := stateWithServers(3, 0)
 	s.Load = demand.Load{}
-	answer(p, s, now, ReplyTaken)
-	answer(p, s, now.Add(lookFor), ReplyTaken)
-	both := present(3, 3)
+	orderAndReply(p, s, startTime, ReplyAccepted)
+	orderAndReply(p, s, startTime.Add(discoveryPeriod), ReplyAccepted)
+	both := stateWithServers(3, 3)
 	both.Load = demand.Load{}
-	for _, o := range answer(p, both, now.Add(lookFor+4*time.Second), ReplyTaken) {
+	for _, o := range orderAndReply(p, both, startTime.Add(discoveryPeriod+4*time.Second), ReplyAccepted) {
 		c.Check(o.Count <= 3, qt.IsTrue, qt.Commentf("%+v", o))
 	}
-	c.Check(p.found, qt.Equals, 9)
+	c.Check(p.initialFleet, qt.Equals, 9)
 }
 
-// TestFleetFoundIsKeptWhereNothingIsReclaimable: servers on demand are all there is.
-func TestFleetFoundIsKeptWhereNothingIsReclaimable(t *testing.T) {
+// TestInitialFleetIsKeptWithoutReclaimable: servers on demand are all there is.
+func TestInitialFleetIsKeptWithoutReclaimable(t *testing.T) {
 	c := qt.New(t)
-	s := present(3, 0)
-	s.Scaling.SpotPrice, s.Load, s.Least = 0, demand.Load{}, 9
-	onDemand, reclaimable := counts(Plan(s))
+	s := stateWithServers(3, 0)
+	s.Scaling.SpotPriceRatio, s.Load, s.MinServers = 0, demand.Load{}, 9
+	onDemand, reclaimable := countTargets(Plan(s))
 	c.Check(onDemand, qt.Equals, 9)
 	c.Check(reclaimable, qt.Equals, 0)
 }
@@ -245,19 +245,19 @@
 func TestServersAtTheirLimitsAreReplacedOnce(t *testing.T) {
 	c := qt.New(t)
 	orderedWith := func(atLimit int) (counts []int) {
-		p := duringWave(now)
+		p := plannerInReclaimWave(startTime)
 		there := 1
 		for tick := range 200 {
-			at := now.Add(time.Duration(tick) * 300 * time.Millisecond)
-			s := present(1, there)
+			at := startTime.Add(time.Duration(tick) * 300 * time.Millisecond)
+			s := stateWithServers(1, there)
 			s.Zones[0].ReclaimableAtLimit = atLimit
 			market := Market{s.Zones[0].Name, true}
-			for _, o := range answer(p, s, at, ReplyTaken) {
+			for _, o := range orderAndReply(p, s, at, ReplyAccepted) {
 				if o.Market == market {
 					counts = append(counts, o.Count)
 				}
 			}
-			if given := p.given[market]; given.answered && at.Sub(given.at) >= s.Scaling.BootTime {
+			if given := p.lastOrders[market]; given.accepted && at.Sub(given.placedAt) >= s.Scaling.BootTime {
 				there = given.count
 			}
 		}
@@ -267,12 +267,12 @@
 	c.Check(orderedWith(2), qt.DeepEquals, []int{3})
 }
 
-func TestReplacementsKeepTheMostOfAZone(t *testing.T) {
+func TestReplacementsStayWithinZoneMaximum(t *testing.T) {
 	c := qt.New(t)
 	target := Target{Zone: "z", OnDemand: 1, Reclaimable: 3}
 	z := Zone{Name: "z", OnDemand: 1, Reclaimable: 3, OnDemandAtLimit: 1, ReclaimableAtLimit: 3}
-	c.Check(besideLimited(target, z, 4), qt.Equals, target)
-	c.Check(besideLimited(target, z, 6), qt.Equals, Target{Zone: "z", OnDemand: 1, Reclaimable: 5})
-	c.Check(besideLimited(target, z, 20), qt.Equals, Target{Zone: "z", OnDemand: 2, Reclaimable: 6})
-	c.Check(besideLimited(target, z, 2), qt.Equals, target)
+	c.Check(withLimitReplacements(target, z, 4), qt.Equals, target)
+	c.Check(withLimitReplacements(target, z, 6), qt.Equals, Target{Zone: "z", OnDemand: 1, Reclaimable: 5})
+	c.Check(withLimitReplacements(target, z, 20), qt.Equals, Target{Zone: "z", OnDemand: 2, Reclaimable: 6})
+	c.Check(withLimitReplacements(target, z, 2), qt.Equals, target)
 }
--- a/internal/catalog/admit.go
+++ b/internal/catalog/admit.go
@@ -28,11 +28,11 @@
 	if route == nil {
 		return Admission{}, ErrNoRoute
 	}
-	a := Admission{Route: route, Service: route.ServiceAt(point), Rank: route.Rank}
+	a := Admission{Route: route, Service: route.PickService(point), Rank: route.Rank}
 	if !c.NeedsKey(route) {
 		return a, nil
 	}
-	holder := c.Holder(key)
+	holder := c.WorkspaceByKey(key)
 	if key == "" || holder == nil {
 		return Admission{}, ErrUnknownKey
 	}
--- a/internal/catalog/admit_test.go
+++ b/internal/catalog/admit_test.go
@@ -8,7 +8,7 @@
 
 func TestAdmit(t *testing.T) {
 	c := qt.New(t)
-	cat := sample()
+	cat := sampleCatalog()
 	rank := 3
 	cat.Routes[0].Rank, cat.Workspaces[0].Rank = 1, &rank
 	a, err := cat.Admit("a.example", "/x/z", "secret", 0.5)
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -21,8 +21,8 @@
 	Limits   CallerLimits
 	// Workspaces is empty when callers need no key.
 	Workspaces []Workspace
-	// TakenAt is when this daemon put the version in force.
-	TakenAt time.Time
+	// AppliedAt is when this daemon put the version in force.
+	AppliedAt time.Time
 	// Raw is the encoded form that the catalog was decoded from, as daemons
 	// pass it on to each other.
 	Raw []byte
@@ -31,17 +31,17 @@
 	byKey  map[[sha256.Size]byte]*Workspace
 }
 
-// Repeat says how often a request of a route may run.
-type Repeat int
+// RouteKind says how often a request of a route may run.
+type RouteKind int
 
 // The kinds of route.
 const (
-	// RunsOnce: at most one run, also when an answer is lost.
-	RunsOnce Repeat = iota
-	// RunsAgain: idempotent, may run any number of times.
-	RunsAgain
+	// NonIdempotent: at most one run, also when an answer is lost.
+	NonIdempotent RouteKind = iota
+	// Idempotent: idempotent, may run any number of times.
+	Idempotent
 	// Streams: an answer of events that runs once, unless it is Resumable.
-	Streams
+	EventStream
 )
 
 // Route says where requests of a host and path go and how they are treated.
@@ -49,26 +49,26 @@
 	Name   string
 	Host   string
 	Prefix string
-	Repeat Repeat
+	Kind   RouteKind
 	// Resumable streams may go on at another backend server after the last
 	// event that the caller has.
 	Resumable bool
 	// Timeout is the longest time that a caller is kept waiting.
 	Timeout time.Duration
-	// Target is the time to the answer, or to the first event, that earns full
+	// LatencyTarget is the time to the answer, or to the first event, that earns full
 	// credit.
-	Target time.Duration
-	// GapTarget is the longest pause between two events that is still on time.
-	GapTarget time.Duration
+	LatencyTarget time.Duration
+	// EventGapTarget is the longest pause between two events that is still on time.
+	EventGapTarget time.Duration
 	// Rank orders kinds of request by urgency; zero is the most urgent.
 	Rank int
 	// MaxAttempts bounds the backend servers that one request is sent to.
 	MaxAttempts int
 	// Public routes need no key.
 	Public bool
-	// Cached routes carry prompts whose shared parts backend servers cache.
-	Cached  bool
-	Targets []Split
+	// PrefixCached routes carry prompts whose shared parts backend servers cache.
+	PrefixCached bool
+	Splits       []Split
 }
 
 // Split is a service that gets a share of a route's requests.
@@ -98,23 +98,23 @@
 	CacheTokens int
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
-	// TokenBytes is the size of one token's KV cache, in bytes, and LinkBytes what
+	// KVBytesPerToken is the size of one token's KV cache, in bytes, and LinkBytesPerSecond what
 	// an engine's link carries a second. Zero means that engines do not fetch
 	// prompt parts from each other.
-	TokenBytes int
-	LinkBytes  float64
+	KVBytesPerToken    int
+	LinkBytesPerSecond float64
 }
 
 // Scaling bounds and prices the backend servers of a service.
 type Scaling struct {
-	// Min and Max bound the servers of one availability zone, both markets
+	// MinPerZone and Max bound the servers of one availability zone, both markets
 	// together.
-	Min, Max int
-	BootTime time.Duration
-	// SpotPrice is the price of a reclaimable server as a share of the price of
+	MinPerZone, MaxPerZone int
+	BootTime               time.Duration
+	// SpotPriceRatio is the price of a reclaimable server as a share of the price of
 	// one on demand. Zero means that there are none.
-	SpotPrice  float64
-	ZonePrices map[string]float64
+	SpotPriceRatio float64
+	ZonePrices     map[string]float64
 }
 
 // CallerLimits bound what a caller may send and how slowly.
@@ -132,14 +132,14 @@
 	KeyDigests [][sha256.Size]byte
 	// Rank replaces the rank of the route when it is set.
 	Rank *int
-	// TokensPerSecond and Burst are the allowance over all daemons together;
+	// RatePerSecond and Burst are the allowance over all daemons together;
 	// zero means no limit. ByTokens says whether it is counted in tokens or in
 	// requests.
-	TokensPerSecond float64
-	Burst           float64
-	ByTokens        bool
-	// PlainTokens is what a request without token counts costs.
-	PlainTokens int
+	RatePerSecond float64
+	Burst         float64
+	ByTokens      bool
+	// PlainRequestTokens is what a request without token counts costs.
+	PlainRequestTokens int
 }
 
 // Build makes the lookup tables. It is called once, before the catalog is
@@ -176,31 +176,31 @@
 // NeedsKey reports whether requests of the route carry a key.
 func (c *Catalog) NeedsKey(r *Route) bool { return len(c.Workspaces) > 0 && !r.Public }
 
-// Holder returns the workspace that holds a key, or nil.
-func (c *Catalog) Holder(key string) *Workspace { return c.byKey[sha256.Sum256([]byte(key))] }
+// WorkspaceByKey returns the workspace that holds a key, or nil.
+func (c *Catalog) WorkspaceByKey(key string) *Workspace { return c.byKey[sha256.Sum256([]byte(key))] }
 
-// ServiceAt returns the service that a request goes to; point is uniform in
+// PickService returns the service that a request goes to; point is uniform in
 // [0, 1) and picks among the splits.
-func (r *Route) ServiceAt(point float64) string {
+func (r *Route) PickService(point float64) string {
 	total := 0
-	for _, s := range r.Targets {
+	for _, s := range r.Splits {
 		total += s.Weight
 	}
 	at := point * float64(total)
-	for _, s := range r.Targets {
+	for _, s := range r.Splits {
 		at -= float64(s.Weight)
 		if at < 0 {
 			return s.Service
 		}
 	}
-	if len(r.Targets) == 0 {
+	if len(r.Splits) == 0 {
 		return ""
 	}
-	return r.Targets[len(r.Targets)-1].Service
+	return r.Splits[len(r.Splits)-1].Service
 }
 
-// MayRepeat reports whether a request of the route may be sent again after an
+// Retryable reports whether a request of the route may be sent again after an
 // attempt that may have run.
-func (r *Route) MayRepeat() bool {
-	return r.Repeat == RunsAgain || (r.Repeat == Streams && r.Resumable)
+func (r *Route) Retryable() bool {
+	return r.Kind == Idempotent || (r.Kind == EventStream && r.Resumable)
 }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func sample() *Catalog {
+func sampleCatalog() *Catalog {
 	c := &Catalog{
 		Routes: []Route{
 			{Name: "short", Host: "a.example", Prefix: "/x/"},
@@ -21,7 +21,7 @@
 
 func TestMatchTakesLongestPrefixOfTheHost(t *testing.T) {
 	c := qt.New(t)
-	cat := sample()
+	cat := sampleCatalog()
 	for _, test := range []struct{ host, path, want string }{
 		{"a.example", "/x/z", "short"},
 		{"a.example", "/x/y/z", "long"},
@@ -40,20 +40,20 @@
 
 func TestKeys(t *testing.T) {
 	c := qt.New(t)
-	cat := sample()
-	c.Check(cat.Holder("secret").Name, qt.Equals, "quarry")
-	c.Check(cat.Holder("Secret"), qt.IsNil)
-	c.Check(cat.Holder(""), qt.IsNil)
+	cat := sampleCatalog()
+	c.Check(cat.WorkspaceByKey("secret").Name, qt.Equals, "quarry")
+	c.Check(cat.WorkspaceByKey("Secret"), qt.IsNil)
+	c.Check(cat.WorkspaceByKey(""), qt.IsNil)
 	c.Check(cat.NeedsKey(&cat.Routes[0]), qt.IsTrue)
 	c.Check(cat.NeedsKey(&cat.Routes[2]), qt.IsFalse)
 }
 
-func TestServiceAtFollowsWeights(t *testing.T) {
+func TestPickServiceFollowsWeights(t *testing.T) {
 	c := qt.New(t)
-	r := Route{Targets: []Split{{"a", 90}, {"none", 0}, {"b", 10}}}
-	c.Check(r.ServiceAt(0), qt.Equals, "a")
-	c.Check(r.ServiceAt(0.899), qt.Equals, "a")
-	c.Check(r.ServiceAt(0.901), qt.Equals, "b")
-	c.Check(r.ServiceAt(0.9999999), qt.Equals, "b")
-	c.Check((&Route{}).ServiceAt(0.5), qt.Equals, "")
+	r := Route{Splits: []Split{{"a", 90}, {"none", 0}, {"b", 10}}}
+	c.Check(r.PickService(0), qt.Equals, "a")
+	c.Check(r.PickService(0.899), qt.Equals, "a")
+	c.Check(r.PickService(0.901), qt.Equals, "b")
+	c.Check(r.PickService(0.9999999), qt.Equals, "b")
+	c.Check((&Route{}).PickService(0.5), qt.Equals, "")
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -194,7 +194,7 @@
 		Logger:     d.logger,
 		Registerer: d.metrics,
 	})
-	d.registry.OnDaemons(func(daemons []vmlist.VM, revision int64) {
+	d.registry.OnDaemonsChange(func(daemons []vmlist.VM, revision int64) {
 		d.mesh.SetDaemons(daemons, revision)
 		d.limiter.SetDaemons(len(daemons))
 	})
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -32,7 +32,7 @@
 	select {
 	case <-ctx.Done():
 		err = d.shutDown(kill)
-	case deadline := <-d.registry.SelfLeaves():
+	case deadline := <-d.registry.SelfLeaving():
 		err = d.evacuate(kill, deadline)
 	case <-kill.Done():
 	case err = <-failed:
--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -9,105 +9,105 @@
 )
 
 const (
-	// startMemory is the time after which a request has lost most of its weight (1 - 1/e)
+	// defaultTimeConstant is the time after which a request has lost most of its weight (1 - 1/e)
 	// in the rates, until the boot time of servers is known.
-	startMemory = 3 * time.Second
-	// bootShare is the part of a server's boot time that is remembered: a burst shows
-	// before a server has booted. leastMemory and mostMemory bound it: shorter is noise,
+	defaultTimeConstant = 3 * time.Second
+	// bootTimeShare is the part of a server's boot time that is remembered: a burst shows
+	// before a server has booted. minTimeConstant and maxTimeConstant bound it: shorter is noise,
 	// longer would miss a burst altogether.
-	bootShare   = 0.75
-	leastMemory = 2 * time.Second
-	mostMemory  = 6 * time.Second
+	bootTimeShare   = 0.75
+	minTimeConstant = 2 * time.Second
+	maxTimeConstant = 6 * time.Second
 )
 
 // Load is how much of the engines of a service is asked for, by resource. For a
 // request it is in seconds of one engine; as a rate, a second, it is the number of
 // engines that are kept busy.
 type Load struct {
-	// Reading is the time for which an engine reads the prompt.
-	Reading float64 `json:"reading"`
-	// Places is the time for which a place in the batch is held, as a part of all places
+	// Prefill is the time for which an engine reads the prompt.
+	Prefill float64 `json:"reading"`
+	// Batch is the time for which a place in the batch is held, as a part of all places
 	// of an engine.
-	Places float64 `json:"places"`
+	Batch float64 `json:"places"`
 	// Memory is the same for the memory of an engine.
 	Memory float64 `json:"memory"`
 }
 
 // Add returns the sum of two loads.
 func (l Load) Add(more Load) Load {
-	return Load{Reading: l.Reading + more.Reading, Places: l.Places + more.Places, Memory: l.Memory + more.Memory}
+	return Load{Prefill: l.Prefill + more.Prefill, Batch: l.Batch + more.Batch, Memory: l.Memory + more.Memory}
 }
 
-// Times returns the load taken so many times.
-func (l Load) Times(factor float64) Load {
-	return Load{Reading: factor * l.Reading, Places: factor * l.Places, Memory: factor * l.Memory}
+// Scaled returns the load taken so many times.
+func (l Load) Scaled(factor float64) Load {
+	return Load{Prefill: factor * l.Prefill, Batch: factor * l.Batch, Memory: factor * l.Memory}
 }
 
-// Less returns what is left of the load without a part of it, nothing negative.
-func (l Load) Less(part Load) Load {
+// Minus returns what is left of the load without a part of it, nothing negative.
+func (l Load) Minus(part Load) Load {
 	return Load{
-		Reading: max(0, l.Reading-part.Reading), Places: max(0, l.Places-part.Places), Memory: max(0, l.Memory-part.Memory),
+		Prefill: max(0, l.Prefill-part.Prefill), Batch: max(0, l.Batch-part.Batch), Memory: max(0, l.Memory-part.Memory),
 	}
 }
 
 // Meter measures rates. It may be used by several goroutines.
 type Meter struct {
 	mu       sync.Mutex
-	services map[string]*gauge
+	services map[string]*rateEstimate
 }
 
-type gauge struct {
-	rate   Load
-	at     time.Time
-	memory time.Duration
+type rateEstimate struct {
+	rate         Load
+	updatedAt    time.Time
+	timeConstant time.Duration
 }
 
-// memoryFor returns how long requests are remembered where servers boot for so long.
-func memoryFor(boot time.Duration) time.Duration {
+// timeConstantFor returns how long requests are remembered where servers boot for so long.
+func timeConstantFor(boot time.Duration) time.Duration {
 	if boot <= 0 {
-		return startMemory
+		return defaultTimeConstant
 	}
-	return max(leastMemory, min(mostMemory, time.Duration(bootShare*float64(boot))))
+	return max(minTimeConstant, min(maxTimeConstant, time.Duration(bootTimeShare*float64(boot))))
 }
 
 // NewMeter returns a meter that has seen nothing.
-func NewMeter() *Meter { return &Meter{services: map[string]*gauge{}} }
+func NewMeter() *Meter { return &Meter{services: map[string]*rateEstimate{}} }
 
-// Boots takes over how long servers of a service boot.
-func (m *Meter) Boots(service string, boot time.Duration, now time.Time) {
+// SetBootTime takes over how long servers of a service boot.
+func (m *Meter) SetBootTime(service string, boot time.Duration, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	g := m.gauge(service, now)
+	g := m.estimate(service, now)
 	g.decay(now)
-	g.memory = memoryFor(boot)
+	g.timeConstant = timeConstantFor(boot)
 }
 
-// Asked notes a request.
-func (m *Meter) Asked(service string, work Load, now time.Time) {
+// RecordRequest notes a request.
+func (m *Meter) RecordRequest(service string, work Load, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	g := m.gauge(service, now)
+	g := m.estimate(service, now)
 	g.decay(now)
-	g.rate = g.rate.Add(work.Times(1 / g.memory.Seconds()))
+	g.rate = g.rate.Add(work.Scaled(1 / g.timeConstant.Seconds()))
 }
 
-// gauge returns the gauge of a service; the caller holds the lock.
-func (m *Meter) gauge(service string, now time.Time) *gauge {
+// estimate returns the gauge of a service; the caller holds the lock.
+func (m *Meter) estimate(service string, now time.Time) *rateEstimate {
 	g := m.services[service]
 	if g == nil {
-		g = &gauge{at: now, memory: startMemory}
+		g = &rateEstimate{updatedAt: now, timeConstant: defaultTimeConstant}
 		m.services[service] = g
 	}
 	return g
 }
 
-func (g *gauge) decay(now time.Time) {
-	elapsed := now.Sub(g.at)
+func (g *rateEstimate) decay(now time.Time) {
+	elapsed := now.Sub(g.updatedAt)
 	if elapsed <= 0 {
 		return
 	}
-	g.rate = g.rate.Times(math.Exp(-elapsed.Seconds() / g.memory.Seconds()))
-	g.at = now
+	g.rate = g.rate.Scaled(math.Exp(-elapsed.Seconds() / g.timeConstant.Seconds()))
+	g.updatedAt = now
 }
 
 // Rates returns the load of every service.
--- a/internal/demand/demand_test.go
+++ b/internal/demand/demand_test.go
@@ -14,29 +14,29 @@
 	now := time.Unix(1000, 0)
 	for range 300 {
 		now = now.Add(100 * time.Millisecond)
-		m.Asked("s", Load{Reading: 0.05, Places: 0.2, Memory: 0.01}, now)
+		m.RecordRequest("s", Load{Prefill: 0.05, Batch: 0.2, Memory: 0.01}, now)
 	}
 	rate := m.Rates(now)["s"]
-	c.Check(math.Abs(rate.Reading-0.5) < 0.025, qt.IsTrue, qt.Commentf("%v", rate))
-	c.Check(math.Abs(rate.Places-2) < 0.1, qt.IsTrue, qt.Commentf("%v", rate))
+	c.Check(math.Abs(rate.Prefill-0.5) < 0.025, qt.IsTrue, qt.Commentf("%v", rate))
+	c.Check(math.Abs(rate.Batch-2) < 0.1, qt.IsTrue, qt.Commentf("%v", rate))
 	c.Check(math.Abs(rate.Memory-0.1) < 0.005, qt.IsTrue, qt.Commentf("%v", rate))
-	later := m.Rates(now.Add(5 * startMemory))["s"]
-	c.Check(later.Places < 0.02, qt.IsTrue, qt.Commentf("%v", later))
+	later := m.Rates(now.Add(5 * defaultTimeConstant))["s"]
+	c.Check(later.Batch < 0.02, qt.IsTrue, qt.Commentf("%v", later))
 }
 
-// TestMemoryFollowsTheBootTime: a step of the demand is known sooner where servers boot
+// TestTimeConstantFollowsBootTime: a step of the demand is known sooner where servers boot
 // sooner, within bounds.
-func TestMemoryFollowsTheBootTime(t *testing.T) {
+func TestTimeConstantFollowsBootTime(t *testing.T) {
 	c := qt.New(t)
 	known := func(boot time.Duration) float64 {
 		m := NewMeter()
 		now := time.Unix(1000, 0)
-		m.Boots("s", boot, now)
+		m.SetBootTime("s", boot, now)
 		for range 30 {
 			now = now.Add(100 * time.Millisecond)
-			m.Asked("s", Load{Reading: 0.1}, now)
+			m.RecordRequest("s", Load{Prefill: 0.1}, now)
 		}
-		return m.Rates(now)["s"].Reading
+		return m.Rates(now)["s"].Prefill
 	}
 	c.Check(known(2*time.Second) > known(4*time.Second), qt.IsTrue)
 	c.Check(known(4*time.Second) > known(20*time.Second), qt.IsTrue)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -19,37 +19,37 @@
 )
 
 const (
-	// pollWait is how long one call waits at the VM list or at the notices.
-	pollWait = 30 * time.Second
+	// longPollTimeout is how long one call waits at the VM list or at the notices.
+	longPollTimeout = 30 * time.Second
 	// retryDelay follows a failed call.
 	retryDelay = time.Second
 	// evacuationMargin is the time before a reclaim's deadline at which
 	// running streams move away.
 	evacuationMargin = time.Second
-	// suspectBase is the first time that a failed server is avoided; it
-	// doubles with each failure up to suspectMax.
-	suspectBase = time.Second
-	suspectMax  = 30 * time.Second
-	// excessHalfLife is the time in which an observed delay loses half of its
+	// initialSuspectTime is the first time that a failed server is avoided; it
+	// doubles with each failure up to maxSuspectTime.
+	initialSuspectTime = time.Second
+	maxSuspectTime     = 30 * time.Second
+	// excessDelayHalfLife is the time in which an observed delay loses half of its
 	// weight.
-	excessHalfLife = 5 * time.Second
-	// smoothing is the weight of a new observation of the service time.
-	smoothing = 0.2
+	excessDelayHalfLife = 5 * time.Second
+	// serviceTimeWeight is the weight of a new observation of the service time.
+	serviceTimeWeight = 0.2
 )
 
 // Registry holds the VMs. It is safe for concurrent use.
 type Registry struct {
-	self   string
-	leaves chan time.Time
-	logger *slog.Logger
+	self        string
+	selfLeaving chan time.Time
+	logger      *slog.Logger
 
-	mu       sync.Mutex
-	index    *config.Index
-	servers  map[string]*server
-	daemons  map[string]vmlist.VM
-	revision int64
-	changed  chan struct{}
-	onChange []func([]vmlist.VM, int64)
+	mu              sync.Mutex
+	index           *config.Index
+	servers         map[string]*server
+	daemons         map[string]vmlist.VM
+	revision        int64
+	changed         chan struct{}
+	onDaemonsChange []func([]vmlist.VM, int64)
 	// ownDemand is what this daemon's callers ask for now, by service, and demands what daemons have
 	// reported of theirs, by service and daemon.
 	ownDemand map[string]demand
@@ -57,18 +57,18 @@
 }
 
 type server struct {
-	vm       vmlist.VM
-	evacuate chan struct{}
-	moved    bool
-	timer    *time.Timer
+	vm              vmlist.VM
+	evacuate        chan struct{}
+	evacuated       bool
+	evacuationTimer *time.Timer
 
-	running       int
-	pendingTokens int
-	failures      int
-	suspectUntil  time.Time
-	excess        time.Duration
-	excessAt      time.Time
-	serviceTime   time.Duration
+	running             int
+	pendingPromptTokens int
+	consecutiveFailures int
+	suspectUntil        time.Time
+	excessDelay         time.Duration
+	excessDelayAt       time.Time
+	serviceTime         time.Duration
 	// limit is the server's latest request limit, liftedAt when it last ended, and quota this daemon's
 	// part of it.
 	limit    advice.Limit
@@ -76,22 +76,22 @@
 	quota    quota
 	// leaving is whether it has announced that it leaves.
 	leaving leavingState
-	// restUntil is until when the server wants no requests from this daemon.
-	restUntil time.Time
+	// backoffUntil is until when the server wants no requests from this daemon.
+	backoffUntil time.Time
 }
 
 // NewRegistry returns a registry without VMs for the daemon on the VM with the
 // ID self.
 func NewRegistry(self string, logger *slog.Logger) *Registry {
 	return &Registry{
-		self:      self,
-		leaves:    make(chan time.Time, 1),
-		logger:    logger,
-		servers:   map[string]*server{},
-		daemons:   map[string]vmlist.VM{},
-		ownDemand: map[string]demand{},
-		demands:   map[string]map[string]demand{},
-		changed:   make(chan struct{}),
+		self:        self,
+		selfLeaving: make(chan time.Time, 1),
+		logger:      logger,
+		servers:     map[string]*server{},
+		daemons:     map[string]vmlist.VM{},
+		ownDemand:   map[string]demand{},
+		demands:     map[string]map[string]demand{},
+		changed:     make(chan struct{}),
 	}
 }
 
@@ -100,18 +100,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.index = index
-	r.wake()
+	r.notifyChanged()
 }
 
-// OnDaemons registers a function that is called with the daemons of the
+// OnDaemonsChange registers a function that is called with the daemons of the
 // deployment, and the revision of the VM list, whenever they change.
-func (r *Registry) OnDaemons(f func(daemons []vmlist.VM, revision int64)) {
+func (r *Registry) OnDaemonsChange(f func(daemons []vmlist.VM, revision int64)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.onChange = append(r.onChange, f)
+	r.onDaemonsChange = append(r.onDaemonsChange, f)
 }
 
-func (r *Registry) wake() {
+func (r *Registry) notifyChanged() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -126,38 +126,38 @@
 // Run follows the VM list and the notices until the context ends.
 func (r *Registry) Run(ctx context.Context, lister vmlist.VMLister, provider cloud.Provider) {
 	var loops sync.WaitGroup
-	loops.Go(func() { r.followList(ctx, lister) })
-	loops.Go(func() { r.followNotices(ctx, provider) })
+	loops.Go(func() { r.pollVMList(ctx, lister) })
+	loops.Go(func() { r.pollNotices(ctx, provider) })
 	loops.Wait()
 }
 
-func (r *Registry) followList(ctx context.Context, lister vmlist.VMLister) {
+func (r *Registry) pollVMList(ctx context.Context, lister vmlist.VMLister) {
 	for ctx.Err() == nil {
-		changes, err := lister.ListVMs(ctx, r.revision, pollWait)
+		changes, err := lister.ListVMs(ctx, r.revision, longPollTimeout)
 		if err != nil {
-			r.pause(ctx, "read VM list", err)
+			r.waitAfterError(ctx, "read VM list", err)
 			continue
 		}
 		r.Apply(changes)
 	}
 }
 
-func (r *Registry) followNotices(ctx context.Context, provider cloud.Provider) {
+func (r *Registry) pollNotices(ctx context.Context, provider cloud.Provider) {
 	var after int64
 	for ctx.Err() == nil {
-		notices, err := provider.Notices(ctx, after, pollWait)
+		notices, err := provider.Notices(ctx, after, longPollTimeout)
 		if err != nil {
-			r.pause(ctx, "read reclaim notices", err)
+			r.waitAfterError(ctx, "read reclaim notices", err)
 			continue
 		}
 		for _, notice := range notices {
 			after = max(after, notice.Sequence)
-			r.Leave(notice.VM, notice.Deadline)
+			r.HandleReclaimNotice(notice.VM, notice.Deadline)
 		}
 	}
 }
 
-func (r *Registry) pause(ctx context.Context, what string, err error) {
+func (r *Registry) waitAfterError(ctx context.Context, what string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -172,7 +172,7 @@
 func (r *Registry) Apply(changes vmlist.VMChanges) {
 	r.mu.Lock()
 	if changes.Full {
-		r.forgetMissing(changes.VMs)
+		r.removeMissing(changes.VMs)
 	}
 	daemonsChanged := false
 	for _, vm := range changes.VMs {
@@ -185,19 +185,19 @@
 	}
 	r.revision = changes.Revision
 	if daemonsChanged {
-		r.shareLimits(time.Now())
+		r.updateQuotas(time.Now())
 	}
-	r.wake()
+	r.notifyChanged()
 	r.mu.Unlock()
 	if daemonsChanged {
-		r.tellDaemons()
+		r.notifyDaemonsChange()
 	}
 }
 
-// tellDaemons tells who has asked for it which daemons there are.
-func (r *Registry) tellDaemons() {
+// notifyDaemonsChange tells who has asked for it which daemons there are.
+func (r *Registry) notifyDaemonsChange() {
 	r.mu.Lock()
-	callbacks := slices.Clone(r.onChange)
+	callbacks := slices.Clone(r.onDaemonsChange)
 	revision := r.revision
 	r.mu.Unlock()
 	daemons := r.Daemons()
@@ -206,26 +206,26 @@
 	}
 }
 
-// SelfLeaves returns a channel that gives the deadline when the reclaim of the
+// SelfLeaving returns a channel that gives the deadline when the reclaim of the
 // daemon's own VM is announced.
-func (r *Registry) SelfLeaves() <-chan time.Time { return r.leaves }
+func (r *Registry) SelfLeaving() <-chan time.Time { return r.selfLeaving }
 
-// forgetMissing drops what a whole list no longer holds.
-func (r *Registry) forgetMissing(vms []vmlist.VM) {
+// removeMissing drops what a whole list no longer holds.
+func (r *Registry) removeMissing(vms []vmlist.VM) {
 	present := map[string]bool{}
 	for _, vm := range vms {
 		present[vm.ID] = true
 	}
 	for id, s := range r.servers {
 		if !present[id] {
-			s.leaveNow()
+			s.evacuateNow()
 			delete(r.servers, id)
 		}
 	}
 	for id := range r.daemons {
 		if !present[id] {
 			delete(r.daemons, id)
-			r.forgetDemand(id)
+			r.removeDemand(id)
 		}
 	}
 }
@@ -233,7 +233,7 @@
 func (r *Registry) applyDaemon(vm vmlist.VM) {
 	if vm.State == vmlist.VMGone {
 		delete(r.daemons, vm.ID)
-		r.forgetDemand(vm.ID)
+		r.removeDemand(vm.ID)
 		return
 	}
 	if r.daemons[vm.ID].State == vmlist.VMLeaving && r.daemons[vm.ID].Address == vm.Address {
@@ -246,7 +246,7 @@
 	s := r.servers[vm.ID]
 	if vm.State == vmlist.VMGone {
 		if s != nil {
-			s.leaveNow()
+			s.evacuateNow()
 			delete(r.servers, vm.ID)
 		}
 		return
@@ -263,28 +263,28 @@
 	s.vm = vm
 }
 
-// leaveNow tells the attempts on the server to move away at once.
-func (s *server) leaveNow() {
-	if s.timer != nil {
-		s.timer.Stop()
+// evacuateNow tells the attempts on the server to move away at once.
+func (s *server) evacuateNow() {
+	if s.evacuationTimer != nil {
+		s.evacuationTimer.Stop()
 	}
-	if !s.moved {
-		s.moved = true
+	if !s.evacuated {
+		s.evacuated = true
 		close(s.evacuate)
 	}
 }
 
-// Leave marks a VM as leaving. Streams on it move away shortly before the
+// HandleReclaimNotice marks a VM as leaving. Streams on it move away shortly before the
 // deadline.
-func (r *Registry) Leave(id string, deadline time.Time) {
+func (r *Registry) HandleReclaimNotice(id string, deadline time.Time) {
 	if id == r.self {
 		select {
-		case r.leaves <- deadline:
+		case r.selfLeaving <- deadline:
 		default:
 		}
 	}
 	if r.markLeaving(id, deadline) {
-		r.tellDaemons()
+		r.notifyDaemonsChange()
 	}
 }
 
@@ -295,22 +295,22 @@
 	if daemon, ok := r.daemons[id]; ok {
 		daemon.State = vmlist.VMLeaving
 		r.daemons[id] = daemon
-		r.shareLimits(time.Now())
+		r.updateQuotas(time.Now())
 		return true
 	}
 	s := r.servers[id]
-	if s == nil || s.timer != nil {
+	if s == nil || s.evacuationTimer != nil {
 		return false
 	}
 	s.vm.State = vmlist.VMLeaving
 	left := time.Until(deadline)
 	margin := min(evacuationMargin, left/2)
-	s.timer = time.AfterFunc(left-margin, func() {
+	s.evacuationTimer = time.AfterFunc(left-margin, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		s.leaveNow()
+		s.evacuateNow()
 	})
-	r.wake()
+	r.notifyChanged()
 	return false
 }
 
@@ -356,48 +356,48 @@
 	var candidates []route.Server
 	for _, s := range r.servers {
 		if s.vm.Service == service {
-			candidates = append(candidates, r.view(s, definition, promptTokens, now))
+			candidates = append(candidates, r.candidate(s, definition, promptTokens, now))
 		}
 	}
 	return candidates
 }
 
-func (r *Registry) view(s *server, definition *config.Service, promptTokens int, now time.Time) route.Server {
+func (r *Registry) candidate(s *server, definition *config.Service, promptTokens int, now time.Time) route.Server {
 	view := route.Server{
 		ID:               s.vm.ID,
 		Zone:             s.vm.Zone,
 		Address:          s.vm.Address,
 		PricePerHour:     r.index.Price(s.vm.Class, s.vm.Zone, config.Market(s.vm.Market)),
-		Leaving:          !s.takesWork(now) || s.untilAdmitted(now) > 0,
+		Leaving:          !s.acceptsRequests(now) || s.admissionWait(now) > 0,
 		Suspect:          now.Before(s.suspectUntil),
 		Running:          s.running,
-		ExcessDelay:      s.decayedExcess(now),
+		ExcessDelay:      s.decayedExcessDelay(now),
 		ServiceTime:      s.serviceTime,
 		MaxBatch:         1,
 		CrossZoneLatency: route.DefaultCrossZoneLatency,
 	}
 	if definition.Model != nil {
 		view.MaxBatch = definition.Model.MaxBatch
-		view.Queue = readingTime(s.pendingTokens, definition.Model.PrefillRate)
-		view.IdleWait = readingTime(promptTokens, definition.Model.PrefillRate)
+		view.Queue = prefillTime(s.pendingPromptTokens, definition.Model.PrefillRate)
+		view.IdleWait = prefillTime(promptTokens, definition.Model.PrefillRate)
 	}
 	return view
 }
 
-// readingTime returns how long an engine reads so many tokens at a rate in tokens per
+// prefillTime returns how long an engine reads so many tokens at a rate in tokens per
 // second, nothing where the rate is not known.
-func readingTime(tokens int, rate float64) time.Duration {
+func prefillTime(tokens int, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
 	}
 	return time.Duration(float64(tokens) / rate * float64(time.Second))
 }
 
-// decayedExcess halves the observed delay with each half-life that has passed.
-func (s *server) decayedExcess(now time.Time) time.Duration {
-	halves := now.Sub(s.excessAt) / excessHalfLife
+// decayedExcessDelay halves the observed delay with each half-life that has passed.
+func (s *server) decayedExcessDelay(now time.Time) time.Duration {
+	halves := now.Sub(s.excessDelayAt) / excessDelayHalfLife
 	if halves > 16 {
 		return 0
 	}
-	return s.excess >> halves
+	return s.excessDelay >> halves
 }
--- a/internal/discovery/leaving.go
+++ b/internal/discovery/leaving.go
@@ -17,8 +17,8 @@
 	at        time.Time
 }
 
-// takesWork reports whether new requests may be sent to a server.
-func (s *server) takesWork(now time.Time) bool {
+// acceptsRequests reports whether new requests may be sent to a server.
+func (s *server) acceptsRequests(now time.Time) bool {
 	leaves := s.leaving.announced && now.Sub(s.leaving.at) < leavingNoticeTTL
 	return s.vm.State == vmlist.VMLive && !leaves
 }
@@ -30,18 +30,18 @@
 		return false
 	}
 	s.leaving = d
-	r.wake()
+	r.notifyChanged()
 	r.logger.Info("server leaves by its own announcement", "server", s.vm.ID, "service", s.vm.Service, "leaves", d.announced)
 	return true
 }
 
-// announceLeaving applies the announcement in a response; the caller holds the lock.
-func (r *Registry) announceLeaving(s *server, a advice.Advice, answered time.Time) (changed bool) {
+// recordLeavingAnnouncement applies the announcement in a response; the caller holds the lock.
+func (r *Registry) recordLeavingAnnouncement(s *server, a advice.Advice, answered time.Time) (changed bool) {
 	return a.Leaving && r.setLeaving(s, leavingState{announced: true, at: answered})
 }
 
-// Returned records that another process has taken the place of a server that left.
-func (r *Registry) Returned(id string, now time.Time) (changed bool) {
+// RecordRestart records that another process has taken the place of a server that left.
+func (r *Registry) RecordRestart(id string, now time.Time) (changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.servers[id]
@@ -53,7 +53,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.servers[id]
-	return s != nil && s.vm.State == vmlist.VMLive && !s.takesWork(now)
+	return s != nil && s.vm.State == vmlist.VMLive && !s.acceptsRequests(now)
 }
 
 // reportsLeaving reports whether the state is reported to other daemons.
--- a/internal/discovery/limits_test.go
+++ b/internal/discovery/limits_test.go
@@ -14,8 +14,8 @@
 
 var start = time.Unix(1000, 0)
 
-// deployment returns the registries of some daemons in zones of a number, with one server in each.
-func deployment(daemons, zones int) []*Registry {
+// testRegistries returns the registries of some daemons in zones of a number, with one server in each.
+func testRegistries(daemons, zones int) []*Registry {
 	var vms []vmlist.VM
 	for z := range zones {
 		vms = append(vms, vmlist.VM{ID: fmt.Sprintf("s-%d", z), Zone: fmt.Sprintf("z-%d", z), Role: vmlist.RoleBackend, Service: "s", State: vmlist.VMLive})
@@ -32,7 +32,7 @@
 	return all
 }
 
-func naming(rate float64) advice.Advice { return advice.Advice{Limit: &rate} }
+func adviceWithLimit(rate float64) advice.Advice { return advice.Advice{Limit: &rate} }
 
 // TestDaemonsShareALimit guards against parts that add up to more than the limit, and against parts
 // so small that nobody sends.
@@ -41,9 +41,9 @@
 		for _, rate := range []float64{0, 0.5, 1.2, 4, 20, 500} {
 			t.Run(fmt.Sprintf("%d daemons, %v a second", daemons, rate), func(t *testing.T) {
 				c := qt.New(t)
-				all := deployment(daemons, 3)
+				all := testRegistries(daemons, 3)
 				for _, r := range all {
-					r.Advised("s-0", naming(rate), start, start)
+					r.ApplyAdvice("s-0", adviceWithLimit(rate), start, start)
 				}
 				sent, total := 0, 0
 				for tick := range 800 {
@@ -63,8 +63,8 @@
 	}
 }
 
-// exchange lets each daemon report to a few others, as heartbeats do.
-func exchange(all []*Registry, now time.Time) {
+// exchangeAdvice lets each daemon report to a few others, as heartbeats do.
+func exchangeAdvice(all []*Registry, now time.Time) {
 	for i, r := range all {
 		records := r.Advice(now)
 		for _, step := range []int{1, 2, 5, 11, 23, 71} {
@@ -75,19 +75,19 @@
 	}
 }
 
-// askLength is how long callers ask; they move in the middle.
-const askLength = 24 * time.Second
+// scenarioLength is how long callers ask; they move in the middle.
+const scenarioLength = 24 * time.Second
 
-// askPlay are the requests a second that callers send to daemons, by number, before and after a change.
-type askPlay struct{ before, after map[int]int }
+// trafficScenario are the requests a second that callers send to daemons, by number, before and after a change.
+type trafficScenario struct{ before, after map[int]int }
 
-// play lets callers ask and returns when requests were sent to the limited server.
-func (p askPlay) play(all []*Registry) (sent []time.Duration) {
+// run lets callers ask and returns when requests were sent to the limited server.
+func (p trafficScenario) run(all []*Registry) (sent []time.Duration) {
 	const tick, heartbeat = 10 * time.Millisecond, time.Second
-	for at := time.Duration(0); at < askLength; at += tick {
+	for at := time.Duration(0); at < scenarioLength; at += tick {
 		now := start.Add(at)
 		asked := p.before
-		if at >= askLength/2 {
+		if at >= scenarioLength/2 {
 			asked = p.after
 		}
 		for i, each := range asked {
@@ -95,12 +95,12 @@
 				continue
 			}
 			all[i].Candidates("s", 0, now)
-			if acquires(all[i], now) {
+			if canAcquire(all[i], now) {
 				sent = append(sent, at)
 			}
 		}
 		if at%heartbeat == 0 {
-			exchange(all, now)
+			exchangeAdvice(all, now)
 		}
 	}
 	return sent
@@ -110,7 +110,7 @@
 // daemons without callers, and against parts that add up to more than the limit when callers move.
 func TestServersAtTheirLimitsAreUsedByWhoeverHasCallers(t *testing.T) {
 	// The server is in the zone of daemons 0, 3 and so on.
-	plays := map[string]askPlay{
+	plays := map[string]trafficScenario{
 		"one daemon":                 {map[int]int{0: 20}, map[int]int{0: 20}},
 		"one of another zone":        {map[int]int{1: 20}, map[int]int{1: 20}},
 		"many at one, few at others": {map[int]int{0: 1, 1: 2, 3: 1, 4: 20}, map[int]int{0: 1, 1: 2, 3: 1, 4: 20}},
@@ -129,13 +129,13 @@
 
 // check plays at some daemons and a server that names a limit. Daemons have one window to learn of
 // callers that move.
-func (p askPlay) check(t *testing.T, daemons int, rate float64) {
+func (p trafficScenario) check(t *testing.T, daemons int, rate float64) {
 	const window = 4 * time.Second
 	c := qt.New(t)
-	all := deployment(daemons, 3)
-	all[0].Advised("s-0", naming(rate), start, start)
-	sent := p.play(all)
-	for from := window; from < askLength; from += window {
+	all := testRegistries(daemons, 3)
+	all[0].ApplyAdvice("s-0", adviceWithLimit(rate), start, start)
+	sent := p.run(all)
+	for from := window; from < scenarioLength; from += window {
 		got := 0
 		for _, at := range sent {
 			if at >= from && at < from+window {
@@ -143,7 +143,7 @@
 			}
 		}
 		c.Check(float64(got) <= rate*4*1.5+5, qt.IsTrue, qt.Commentf("%d in 4 s from %v", got, from))
-		if from != askLength/2 {
+		if from != scenarioLength/2 {
 			c.Check(float64(got) >= rate*4*0.5, qt.IsTrue, qt.Commentf("%d in 4 s from %v", got, from))
 		}
 	}
@@ -161,42 +161,42 @@
 	}
 }
 
-func TestServersAtTheirLimitsAreNoCandidates(t *testing.T) {
+func TestServersAtTheirLimitsAreNotAcquired(t *testing.T) {
 	c := qt.New(t)
-	r := deployment(1, 1)[0]
-	r.Advised("s-0", naming(2), start, start)
+	r := testRegistries(1, 1)[0]
+	r.ApplyAdvice("s-0", adviceWithLimit(2), start, start)
 	r.servers["s-0"].quota.level = 0
 	_, ok := r.Acquire("s-0", 0, start)
 	c.Check(ok, qt.IsFalse)
-	wait, found := r.AtLimit("s", start)
+	wait, found := r.RetryAfter("s", start)
 	c.Check(found, qt.IsTrue)
 	c.Check(wait, qt.Equals, 500*time.Millisecond)
-	_, found = r.AtLimit("other", start)
+	_, found = r.RetryAfter("other", start)
 	c.Check(found, qt.IsFalse)
 	_, ok = r.Acquire("s-0", 0, start.Add(wait))
 	c.Check(ok, qt.IsTrue)
-	r.Advised("s-0", advice.Advice{}, start.Add(time.Second), start.Add(time.Second))
+	r.ApplyAdvice("s-0", advice.Advice{}, start.Add(time.Second), start.Add(time.Second))
 	for range 5 {
 		_, ok = r.Acquire("s-0", 0, start.Add(time.Second))
 		c.Check(ok, qt.IsTrue)
 	}
 }
 
-func TestOtherDaemonsTakeOverTheParts(t *testing.T) {
+func TestQuotaOfRemovedDaemonIsRedistributed(t *testing.T) {
 	c := qt.New(t)
-	all := deployment(2, 1)
+	all := testRegistries(2, 1)
 	for _, r := range all {
-		r.Advised("s-0", naming(4), start, start)
+		r.ApplyAdvice("s-0", adviceWithLimit(4), start, start)
 	}
 	c.Check(all[0].servers["s-0"].quota.rate, qt.Equals, 2.0)
 	all[0].Apply(vmlist.VMChanges{Revision: 2, VMs: []vmlist.VM{{ID: "d-1", Role: vmlist.RoleEntry, State: vmlist.VMGone}}})
 	c.Check(all[0].servers["s-0"].quota.rate, qt.Equals, 4.0)
 }
 
-func TestLimitsSpreadBetweenDaemons(t *testing.T) {
+func TestLimitsAreExchangedBetweenDaemons(t *testing.T) {
 	c := qt.New(t)
-	all := deployment(2, 1)
-	c.Check(all[0].Advised("s-0", naming(4), start, start), qt.IsTrue)
+	all := testRegistries(2, 1)
+	c.Check(all[0].ApplyAdvice("s-0", adviceWithLimit(4), start, start), qt.IsTrue)
 	c.Check(all[1].MergeAdvice(all[0].Advice(start), start), qt.IsTrue)
 	all[1].servers["s-0"].quota.level = 0
 	c.Check(all[1].MergeAdvice(all[0].Advice(start), start), qt.IsFalse)
@@ -205,27 +205,27 @@
 	c.Check(ok, qt.IsFalse)
 
 	later := start.Add(time.Second)
-	c.Check(all[1].Advised("s-0", advice.Advice{}, later, later), qt.IsTrue)
+	c.Check(all[1].ApplyAdvice("s-0", advice.Advice{}, later, later), qt.IsTrue)
 	c.Check(all[0].MergeAdvice(all[1].Advice(later), later), qt.IsTrue)
 	c.Check(all[0].Advice(later), qt.HasLen, 1)
-	c.Check(all[0].Advice(later.Add(liftedFor)), qt.HasLen, 0)
-	c.Check(all[0].MergeAdvice([]AdviceRecord{{Server: "s-0", Named: true, RequestsPerSecond: -1}, {Server: "unknown", Named: true}}, later), qt.IsFalse)
+	c.Check(all[0].Advice(later.Add(liftedReportTTL)), qt.HasLen, 0)
+	c.Check(all[0].MergeAdvice([]AdviceRecord{{Server: "s-0", Limited: true, RequestsPerSecond: -1}, {Server: "unknown", Limited: true}}, later), qt.IsFalse)
 }
 
-// TestServersThatRestAreUsedAgainAfterwards guards against requests within the rest that a server has
+// TestServersAreUsedAgainAfterBackoff guards against requests within the rest that a server has
 // asked this daemon for, and against other daemons that keep it.
-func TestServersThatRestAreUsedAgainAfterwards(t *testing.T) {
+func TestServersAreUsedAgainAfterBackoff(t *testing.T) {
 	c := qt.New(t)
-	all := deployment(2, 1)
-	all[0].Advised("s-0", advice.Advice{RetryAfter: 3 * time.Second}, start, start)
-	all[0].Advised("s-0", advice.Advice{RetryAfter: time.Second}, start, start.Add(100*time.Millisecond))
+	all := testRegistries(2, 1)
+	all[0].ApplyAdvice("s-0", advice.Advice{RetryAfter: 3 * time.Second}, start, start)
+	all[0].ApplyAdvice("s-0", advice.Advice{RetryAfter: time.Second}, start, start.Add(100*time.Millisecond))
 	for ms := range 30 {
-		c.Check(acquires(all[0], start.Add(time.Duration(ms)*100*time.Millisecond)), qt.IsFalse)
+		c.Check(canAcquire(all[0], start.Add(time.Duration(ms)*100*time.Millisecond)), qt.IsFalse)
 	}
-	wait, found := all[0].AtLimit("s", start.Add(time.Second))
+	wait, found := all[0].RetryAfter("s", start.Add(time.Second))
 	c.Check(found, qt.IsTrue)
 	c.Check(wait, qt.Equals, 2*time.Second)
-	c.Check(acquires(all[0], start.Add(3*time.Second)), qt.IsTrue)
+	c.Check(canAcquire(all[0], start.Add(3*time.Second)), qt.IsTrue)
 	c.Check(all[1].MergeAdvice(all[0].Advice(start), start), qt.IsFalse)
-	c.Check(acquires(all[1], start), qt.IsTrue)
+	c.Check(canAcquire(all[1], start), qt.IsTrue)
 }
--- a/internal/discovery/sharing.go
+++ b/internal/discovery/sharing.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// minSenders is the least number of daemons that share a server's limit, and sendersEach how many
+	// minSenders is the least number of daemons that share a server's limit, and sendersPerRequestRate how many
 	// more for each request a second. Each may send one request at once beside its part.
-	minSenders  = 2
-	sendersEach = 2
+	minSenders            = 2
+	sendersPerRequestRate = 2
 )
 
 // sender is a daemon that may have a part of a server's limit, with what its callers ask for, in
@@ -31,21 +31,21 @@
 	return sum
 }
 
-// shareLimits recomputes this daemon's parts when the daemons, or what their callers ask for, change;
+// updateQuotas recomputes this daemon's parts when the daemons, or what their callers ask for, change;
 // the caller holds the lock.
-func (r *Registry) shareLimits(now time.Time) {
+func (r *Registry) updateQuotas(now time.Time) {
 	for _, s := range r.servers {
 		if s.limit.Limited {
-			r.shareLimit(s, now)
+			r.updateQuota(s, now)
 		}
 	}
 }
 
-// shareLimit sets this daemon's part of a server's limit; the caller holds the lock. Few daemons share
+// updateQuota sets this daemon's part of a server's limit; the caller holds the lock. Few daemons share
 // it, the same at every daemon: of equal parts for all, many daemons would wait for minutes to send
 // their first request. Their parts are as large as what their callers ask for, so that none lies idle.
-func (r *Registry) shareLimit(s *server, now time.Time) {
-	s.quota.fill(now)
+func (r *Registry) updateQuota(s *server, now time.Time) {
+	s.quota.refill(now)
 	s.quota.rate = 0
 	senders := r.sendersOf(s)
 	if len(senders) == 0 {
@@ -63,29 +63,29 @@
 // their callers ask for as much as it takes, or of all.
 func (r *Registry) sendersOf(s *server) []sender {
 	var all []sender
-	for _, daemon := range r.leadingDaemons(s.vm.Service) {
-		all = append(all, sender{vm: r.daemons[daemon], demand: r.demands[s.vm.Service][daemon].perSecond})
+	for _, daemon := range r.topDaemons(s.vm.Service) {
+		all = append(all, sender{vm: r.daemons[daemon], demand: r.demands[s.vm.Service][daemon].requestsPerSecond})
 	}
 	near := slices.DeleteFunc(slices.Clone(all), func(d sender) bool { return d.vm.Zone != s.vm.Zone })
 	switch {
 	case len(all) == 0:
-		return firstSenders(s, alike(r.nearTo(s.vm.Zone)))
+		return selectSenders(s, equalSenders(r.daemonsNear(s.vm.Zone)))
 	case totalDemand(near) < s.limit.Rate:
-		return firstSenders(s, all)
+		return selectSenders(s, all)
 	}
-	return firstSenders(s, near)
+	return selectSenders(s, near)
 }
 
-// firstSenders returns the first of some daemons by rendezvous hashing, as many as share the server's
+// selectSenders returns the first of some daemons by rendezvous hashing, as many as share the server's
 // limit, and more where their callers ask for less than it.
-func firstSenders(s *server, pool []sender) []sender {
+func selectSenders(s *server, pool []sender) []sender {
 	byID := map[string]sender{}
 	var vms []vmlist.VM
 	for _, one := range pool {
 		byID[one.vm.ID] = one
 		vms = append(vms, one.vm)
 	}
-	wanted := minSenders + int(math.Min(float64(len(pool)), sendersEach*s.limit.Rate))
+	wanted := minSenders + int(math.Min(float64(len(pool)), sendersPerRequestRate*s.limit.Rate))
 	var senders []sender
 	for _, vm := range vmlist.RendezvousOrder(s.vm.ID, vms) {
 		if len(senders) >= wanted && totalDemand(senders) >= s.limit.Rate {
@@ -96,8 +96,8 @@
 	return senders
 }
 
-// alike returns daemons of whose callers nothing is known, with equal parts.
-func alike(daemons []vmlist.VM) []sender {
+// equalSenders returns daemons of whose callers nothing is known, with equal parts.
+func equalSenders(daemons []vmlist.VM) []sender {
 	var equal []sender
 	for _, vm := range daemons {
 		equal = append(equal, sender{vm: vm, demand: 1})
@@ -105,9 +105,9 @@
 	return equal
 }
 
-// nearTo returns the live daemons of an availability zone, whose requests go to its servers first, or
+// daemonsNear returns the live daemons of an availability zone, whose requests go to its servers first, or
 // all if it has none. The caller holds the lock.
-func (r *Registry) nearTo(zone string) []vmlist.VM {
+func (r *Registry) daemonsNear(zone string) []vmlist.VM {
 	var near, live []vmlist.VM
 	for _, daemon := range r.daemons {
 		if daemon.State != vmlist.VMLive {
--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -14,7 +14,7 @@
 func (d *Dispatcher) adviceHandler(server route.Server) func(advice.Advice) {
 	sent := time.Now()
 	return func(a advice.Advice) {
-		if !d.options.Registry.Advised(server.ID, a, sent, time.Now()) {
+		if !d.options.Registry.ApplyAdvice(server.ID, a, sent, time.Now()) {
 			return
 		}
 		d.notifyAdvice()
@@ -49,7 +49,7 @@
 		}
 		listens := d.isListening(server.Address)
 		if ended && listens {
-			if d.options.Registry.Returned(server.ID, time.Now()) {
+			if d.options.Registry.RecordRestart(server.ID, time.Now()) {
 				d.notifyAdvice()
 			}
 			return
@@ -75,7 +75,7 @@
 
 // refuseNoServer refuses a request for which no server can be picked.
 func (d *Dispatcher) refuseNoServer(spec *request.Spec, now time.Time) *Refusal {
-	wait, found := d.options.Registry.AtLimit(spec.Service, now)
+	wait, found := d.options.Registry.RetryAfter(spec.Service, now)
 	if !found {
 		return &Refusal{Status: http.StatusServiceUnavailable, Detail: "service has no backend server", RetryAfter: noServerRetryAfter}
 	}
--- a/internal/dispatch/flight.go
+++ b/internal/dispatch/flight.go
@@ -58,7 +58,7 @@
 	prepare func(context.Context) error
 
 	mu        sync.Mutex
-	lifecycle *request.Life
+	lifecycle *request.Lifecycle
 	tokens    []string
 	lastEvent *Event
 	changed   chan struct{}
@@ -82,7 +82,7 @@
 	return &Flight{
 		spec:      spec,
 		content:   ContentOf(&spec),
-		lifecycle: request.NewLife(spec.Idempotent()),
+		lifecycle: request.NewLifecycle(spec.Idempotent()),
 		changed:   make(chan struct{}),
 		done:      make(chan struct{}),
 	}
--- a/internal/duty/scaler.go
+++ b/internal/duty/scaler.go
@@ -92,7 +92,7 @@
 		if server.Draining && server.Reclaimable && server.LeavesIn > 0 {
 			// A reclaim notice takes all reclaimable servers of a zone, and no more are
 			// available there for a while.
-			zones[i].Dry = true
+			zones[i].ReclaimableExhausted = true
 		}
 		if server.Ready {
 			countReady(&zones[i], server)
@@ -120,15 +120,15 @@
 		return
 	}
 	err := s.Cloud.Scale(ctx, token, Order{Service: service, Zone: order.Zone, Reclaimable: order.Reclaimable, Count: order.Count})
-	planner.Answered(order, replyOf(err), time.Now())
+	planner.RecordReply(order, replyOf(err), time.Now())
 	s.Logger.Info("servers ordered", "service", service, "zone", order.Zone, "reclaimable", order.Reclaimable,
-		"count", order.Count, "present", order.Present, "reading", load.Reading, "places", load.Places, "memory", load.Memory, "fence", token.Fence, "error", errorText(err))
+		"count", order.Count, "present", order.Present, "reading", load.Prefill, "places", load.Batch, "memory", load.Memory, "fence", token.Fence, "error", errorText(err))
 }
 
 func replyOf(err error) capacity.Reply {
 	switch {
 	case err == nil:
-		return capacity.ReplyTaken
+		return capacity.ReplyAccepted
 	case errors.Is(err, ErrDeclined):
 		return capacity.ReplyDeclined
 	}
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -77,14 +77,14 @@
 		state.Zones = append(state.Zones, w.zoneState(z.Name))
 	}
 	for _, o := range w.sizing.orders(w.planner, state, w.now) {
-		w.planner.Answered(o, w.carryOut(o), w.now)
+		w.planner.RecordReply(o, w.carryOut(o), w.now)
 	}
 }
 
 func (w *world) scaling() catalog.Scaling {
 	s := catalog.Scaling{
-		Min: w.day.Engine.Min, Max: w.day.Engine.Max, BootTime: w.day.Engine.Boot.Std(),
-		SpotPrice: w.day.Engine.SpotPrice, ZonePrices: map[string]float64{},
+		MinPerZone: w.day.Engine.Min, MaxPerZone: w.day.Engine.Max, BootTime: w.day.Engine.Boot.Std(),
+		SpotPriceRatio: w.day.Engine.SpotPrice, ZonePrices: map[string]float64{},
 	}
 	for _, z := range w.day.Zones {
 		s.ZonePrices[z.Name] = z.Price
@@ -93,7 +93,7 @@
 }
 
 func (w *world) zoneState(name string) capacity.Zone {
-	zone := capacity.Zone{Name: name, Dry: w.now.Before(w.dryUntil[name])}
+	zone := capacity.Zone{Name: name, ReclaimableExhausted: w.now.Before(w.dryUntil[name])}
 	for _, e := range w.engines {
 		switch {
 		case e.zone.Name != name || e.draining || e.ended:
@@ -122,7 +122,7 @@
 			missing++
 		}
 	}
-	return capacity.ReplyTaken
+	return capacity.ReplyAccepted
 }
 
 func (w *world) zone(name string) Zone {
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -61,7 +61,7 @@
 	age := now.Sub(r.arrived)
 	need := backend.Need{
 		Service: service, Zone: d.zone, PromptTokens: r.tokens, Parts: r.parts, Target: r.kind.Target.Std(),
-		SampleSeed: d.world.random.Uint64(), Answer: pace.Answer{Allowed: r.output},
+		SampleSeed: d.world.random.Uint64(), Answer: pace.AnswerSize{MaxTokens: r.output},
 	}
 	need.Deferred = p.choose == nil && !p.anyOrder && route.Overdue(age, need.Target)
 	r.deferred = need.Deferred
@@ -77,7 +77,7 @@
 		return nil, "", false
 	}
 	if r.tries == 1 {
-		d.demand.Asked(service, choice.Load, now)
+		d.demand.RecordRequest(service, choice.Load, now)
 	}
 	if p.choose != nil {
 		return choice, "", true
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -135,7 +135,7 @@
 
 func newDaemon(w *world, id, zone string) *daemon {
 	d := &daemon{world: w, id: id, zone: zone, view: backend.NewView(), demand: demand.NewMeter()}
-	d.demand.Boots(service, w.day.Engine.Boot.Std(), w.now)
+	d.demand.SetBootTime(service, w.day.Engine.Boot.Std(), w.now)
 	d.view.SetTraits(map[string]backend.Traits{service: {
 		CacheTokens: w.day.Engine.MemoryTokens, EventTokens: w.day.Engine.EventTokens, FetchRate: w.day.Engine.CopyRate,
 	}})
--- a/internal/firsttry/firsttry.go
+++ b/internal/firsttry/firsttry.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	// grain rounds limits, so that those of first tries are alike.
-	grain = 10 * time.Millisecond
-	// mostKept bounds the limits that are told apart on one route: those of callers that
+	// timeoutResolution rounds limits, so that those of first tries are alike.
+	timeoutResolution = 10 * time.Millisecond
+	// maxTrackedTimeouts bounds the limits that are told apart on one route: those of callers that
 	// come again are spread over all that is below the usual one.
-	mostKept = 32
-	// keep is the weight that is left of a request with the next one: some hundred
+	maxTrackedTimeouts = 32
+	// decayFactor is the weight that is left of a request with the next one: some hundred
 	// requests are remembered, so that a new usual limit is found within seconds.
-	keep = 0.995
-	// leastShare is the share of the requests that state the usual limit, below which none
+	decayFactor = 0.995
+	// minUsualShare is the share of the requests that state the usual limit, below which none
 	// is taken for usual: most callers do not come again.
-	leastShare = 0.3
-	// leastSeen is the weight of requests before which nothing is concluded.
-	leastSeen = 10.0
-	// recalled is the weight of what was known before a start.
-	recalled = 50.0
+	minUsualShare = 0.3
+	// minTotalWeight is the weight of requests before which nothing is concluded.
+	minTotalWeight = 10.0
+	// restoredWeight is the weight of what was known before a start.
+	restoredWeight = 50.0
 )
 
-// Limits learns the usual time limit of each route. It may be used by several
+// CallerTimeouts learns the usual time limit of each route. It may be used by several
 // goroutines.
-type Limits struct {
+type CallerTimeouts struct {
 	mu     sync.Mutex
-	routes map[string]*route
+	routes map[string]*routeTimeouts
 }
 
-// route holds how often each limit was stated, by weight.
-type route struct {
-	weights map[time.Duration]float64
-	sum     float64
+// routeTimeouts holds how often each limit was stated, by weight.
+type routeTimeouts struct {
+	weights     map[time.Duration]float64
+	totalWeight float64
 }
 
-// NewLimits returns limits that have seen nothing.
-func NewLimits() *Limits { return &Limits{routes: map[string]*route{}} }
+// NewCallerTimeouts returns limits that have seen nothing.
+func NewCallerTimeouts() *CallerTimeouts { return &CallerTimeouts{routes: map[string]*routeTimeouts{}} }
 
 // Age takes over the time limit of a request and returns how long ago its caller first
 // tried, zero where that is not known.
-func (l *Limits) Age(name string, limit time.Duration) time.Duration {
+func (l *CallerTimeouts) Age(name string, limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
 	}
@@ -53,30 +53,30 @@
 	defer l.mu.Unlock()
 	r := l.routes[name]
 	if r == nil {
-		r = &route{weights: map[time.Duration]float64{}}
+		r = &routeTimeouts{weights: map[time.Duration]float64{}}
 		l.routes[name] = r
 	}
-	r.saw(limit.Round(grain), 1)
+	r.add(limit.Round(timeoutResolution), 1)
 	usual, known := r.usual()
 	if !known {
 		return 0
 	}
-	return max(0, usual-limit.Round(grain))
+	return max(0, usual-limit.Round(timeoutResolution))
 }
 
-func (r *route) saw(limit time.Duration, weight float64) {
+func (r *routeTimeouts) add(limit time.Duration, weight float64) {
 	for known := range r.weights {
-		r.weights[known] *= keep
+		r.weights[known] *= decayFactor
 	}
-	r.sum = keep*r.sum + weight
+	r.totalWeight = decayFactor*r.totalWeight + weight
 	r.weights[limit] += weight
-	if len(r.weights) > mostKept {
-		r.dropLeast(limit)
+	if len(r.weights) > maxTrackedTimeouts {
+		r.evictLightest(limit)
 	}
 }
 
-// dropLeast forgets the limit with the least weight, but not the one just seen.
-func (r *route) dropLeast(but time.Duration) {
+// evictLightest forgets the limit with the least weight, but not the one just seen.
+func (r *routeTimeouts) evictLightest(but time.Duration) {
 	least, found := time.Duration(0), false
 	for limit, weight := range r.weights {
 		if limit != but && (!found || weight < r.weights[least]) {
@@ -87,18 +87,18 @@
 }
 
 // usual returns the limit that is stated most often.
-func (r *route) usual() (time.Duration, bool) {
+func (r *routeTimeouts) usual() (time.Duration, bool) {
 	usual, weight := time.Duration(0), 0.0
 	for limit, w := range r.weights {
 		if w > weight || (w == weight && limit > usual) {
 			usual, weight = limit, w
 		}
 	}
-	return usual, r.sum >= leastSeen && weight >= leastShare*r.sum
+	return usual, r.totalWeight >= minTotalWeight && weight >= minUsualShare*r.totalWeight
 }
 
 // Usual returns the usual limits as far as they are known, by route.
-func (l *Limits) Usual() map[string]time.Duration {
+func (l *CallerTimeouts) Usual() map[string]time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := map[string]time.Duration{}
@@ -110,14 +110,14 @@
 	return known
 }
 
-// Recall takes over what was known before a start, for routes that nothing is known of.
-func (l *Limits) Recall(usual map[string]time.Duration) {
+// Restore takes over what was known before a start, for routes that nothing is known of.
+func (l *CallerTimeouts) Restore(usual map[string]time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, limit := range maps.All(usual) {
 		if l.routes[name] == nil && limit > 0 {
-			l.routes[name] = &route{weights: map[time.Duration]float64{}}
-			l.routes[name].saw(limit.Round(grain), recalled)
+			l.routes[name] = &routeTimeouts{weights: map[time.Duration]float64{}}
+			l.routes[name].add(limit.Round(timeoutResolution), restoredWeight)
 		}
 	}
 }
--- a/internal/firsttry/firsttry_test.go
+++ b/internal/firsttry/firsttry_test.go
@@ -14,7 +14,7 @@
 // time that they have left.
 func TestAgeOfCallersThatComeAgain(t *testing.T) {
 	c := qt.New(t)
-	l := NewLimits()
+	l := NewCallerTimeouts()
 	random := rand.New(rand.NewPCG(1, 1))
 	for i := range 500 {
 		limit, age := usual, time.Duration(0)
@@ -24,7 +24,7 @@
 		}
 		got := l.Age("r", limit)
 		if i > 50 {
-			c.Check((got-age).Abs() <= grain, qt.IsTrue, qt.Commentf("%v for %v", got, age))
+			c.Check((got-age).Abs() <= timeoutResolution, qt.IsTrue, qt.Commentf("%v for %v", got, age))
 		}
 	}
 	c.Check(l.Usual(), qt.DeepEquals, map[string]time.Duration{"r": usual})
@@ -34,17 +34,17 @@
 // taken for such that come again.
 func TestNothingIsConcludedWhereLimitsDiffer(t *testing.T) {
 	c := qt.New(t)
-	l := NewLimits()
+	l := NewCallerTimeouts()
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 1000 {
 		c.Check(l.Age("r", time.Duration(1+random.IntN(10_000))*time.Millisecond), qt.Equals, time.Duration(0))
 	}
-	c.Check(len(l.routes["r"].weights) <= mostKept, qt.IsTrue)
+	c.Check(len(l.routes["r"].weights) <= maxTrackedTimeouts, qt.IsTrue)
 }
 
-func TestLongerLimitIsNoAge(t *testing.T) {
+func TestLongerTimeoutHasNoAge(t *testing.T) {
 	c := qt.New(t)
-	l := NewLimits()
+	l := NewCallerTimeouts()
 	for range 100 {
 		l.Age("r", usual)
 	}
@@ -53,12 +53,12 @@
 	c.Check(l.Age("other", usual), qt.Equals, time.Duration(0))
 }
 
-// TestStarterKnowsTheUsualLimits: right after the death of all, most requests are of
+// TestRestoredTimeoutsAreUsed: right after the death of all, most requests are of
 // callers that come again.
-func TestStarterKnowsTheUsualLimits(t *testing.T) {
+func TestRestoredTimeoutsAreUsed(t *testing.T) {
 	c := qt.New(t)
-	l := NewLimits()
-	l.Recall(map[string]time.Duration{"r": usual})
+	l := NewCallerTimeouts()
+	l.Restore(map[string]time.Duration{"r": usual})
 	for i := range 40 {
 		age := time.Duration(400+i*30) * time.Millisecond
 		c.Check(l.Age("r", usual-age), qt.Equals, age)
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -66,7 +66,7 @@
 // forwarding the error to the caller.
 func (r *run) shouldRetry(status int) bool {
 	return status >= http.StatusInternalServerError &&
-		r.call.Route.Repeat == catalog.RunsAgain &&
+		r.call.Route.Kind == catalog.Idempotent &&
 		r.sentAttempts < r.call.Route.MaxAttempts &&
 		time.Until(r.call.Deadline()) >= minAttemptTime
 }
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -152,7 +152,7 @@
 
 // maxIdle returns how long a reused connection for the call may have been idle.
 func (r *run) maxIdle() time.Duration {
-	if r.call.Route.Repeat == catalog.RunsAgain {
+	if r.call.Route.Kind == catalog.Idempotent {
 		return maxIdleIdempotent
 	}
 	return maxIdleNonIdempotent
@@ -161,10 +161,10 @@
 // startSilenceTimer cancels an attempt of an idempotent request whose server stays silent,
 // if another attempt remains. The returned function stops the timer.
 func (r *run) startSilenceTimer(cancel context.CancelCauseFunc) (stop func() bool) {
-	if r.call.Route.Repeat != catalog.RunsAgain || r.sentAttempts+1 >= r.call.Route.MaxAttempts {
+	if r.call.Route.Kind != catalog.Idempotent || r.sentAttempts+1 >= r.call.Route.MaxAttempts {
 		return func() bool { return false }
 	}
-	timeout := max(minSilenceTimeout, silenceTargetFactor*r.call.Route.Target)
+	timeout := max(minSilenceTimeout, silenceTargetFactor*r.call.Route.LatencyTarget)
 	return time.AfterFunc(timeout, func() { cancel(errSilent) }).Stop
 }
 
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -82,7 +82,7 @@
 	case !w.ByTokens:
 		return 1
 	case c.Prompt == nil:
-		return float64(w.PlainTokens)
+		return float64(w.PlainRequestTokens)
 	}
 	return float64(c.Prompt.Tokens + c.Prompt.MaxOutput)
 }
@@ -215,7 +215,7 @@
 
 // Demand measures the requested load of each service.
 type Demand interface {
-	Asked(service string, work demand.Load, now time.Time)
+	RecordRequest(service string, work demand.Load, now time.Time)
 }
 
 // RollOuts decides which requests go to the candidate version of a service, and collects
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -70,7 +70,7 @@
 	// Quarantine blocks requests that crash servers. Nil blocks nothing.
 	Quarantine Quarantine
 	// CallerTimeouts infers from the stated time limits how long ago a caller first tried.
-	CallerTimeouts *firsttry.Limits
+	CallerTimeouts *firsttry.CallerTimeouts
 	// OnLargePrompt informs other daemons of a prompt that occupies a server for long.
 	OnLargePrompt func(server backend.Entry, tokens int)
 	// OnAdviceChanged is called when advice in an answer has changed the state shared with
@@ -107,7 +107,7 @@
 	// candidate is set while the call goes to the candidate version of a roll-out.
 	candidate bool
 	// lifecycle decides whether a retry is safe and which outcome may be reported.
-	lifecycle *request.Life
+	lifecycle *request.Lifecycle
 	// usageCounted is set once the call is counted as usage, demandCounted once as demand.
 	usageCounted  bool
 	demandCounted bool
@@ -136,7 +136,7 @@
 func (f *Forwarder) Forward(ctx context.Context, call *Call, reply Reply) error {
 	r := &run{
 		Forwarder: f, call: call, reply: reply, tried: map[string]bool{}, lastEventID: call.LastEventID,
-		lifecycle: request.NewLife(call.Route.MayRepeat()), content: call.content(),
+		lifecycle: request.NewLifecycle(call.Route.Retryable()), content: call.content(),
 	}
 	if f.options.CallerTimeouts != nil {
 		r.callerAge = f.options.CallerTimeouts.Age(call.Route.Name, call.CallerTimeout)
@@ -168,7 +168,7 @@
 		return r.giveUp(ctx, refusal)
 	}
 	w := r.workspace()
-	if w == nil || w.TokensPerSecond == 0 {
+	if w == nil || w.RatePerSecond == 0 {
 		return r.runAttempts(ctx)
 	}
 	cost := r.call.tokenCost(w)
@@ -308,7 +308,7 @@
 		return
 	}
 	r.demandCounted = true
-	r.options.Demand.Asked(r.call.Service, choice.Load, now)
+	r.options.Demand.RecordRequest(r.call.Service, choice.Load, now)
 }
 
 // refuseTooLate refuses a call whose predicted first answer is so late that the capacity
@@ -319,27 +319,27 @@
 	}
 	timing := route.Timing{
 		Age: r.callerAge + now.Sub(r.call.Arrived), Wait: choice.Wait, IdleWait: choice.IdleWait,
-		Target: r.call.Route.Target, Remaining: r.call.CallerDeadline().Sub(now),
+		Target: r.call.Route.LatencyTarget, Remaining: r.call.CallerDeadline().Sub(now),
 	}
 	if !timing.ShouldRefuse() {
 		return nil
 	}
 	return &Refusal{
 		Status: http.StatusServiceUnavailable, Reason: "predicted wait is too long",
-		RetryAfter: max(retryAfterTransient, choice.Wait-r.call.Route.Target/2),
+		RetryAfter: max(retryAfterTransient, choice.Wait-r.call.Route.LatencyTarget/2),
 	}
 }
 
 // overdue reports whether the caller first tried so long ago that its answer will be late
 // in any case.
-func (r *run) overdue() bool { return route.Overdue(r.callerAge, r.call.Route.Target) }
+func (r *run) overdue() bool { return route.Overdue(r.callerAge, r.call.Route.LatencyTarget) }
 
 func (r *run) need() backend.Need {
-	need := backend.Need{Service: r.call.Service, Zone: r.options.Zone, Target: r.call.Route.Target, Tried: r.tried, Candidate: r.candidate, SampleSeed: xxhash.Sum64String(r.call.ID)}
+	need := backend.Need{Service: r.call.Service, Zone: r.options.Zone, Target: r.call.Route.LatencyTarget, Tried: r.tried, Candidate: r.candidate, SampleSeed: xxhash.Sum64String(r.call.ID)}
 	need.Final = r.sentAttempts+1 >= r.call.Route.MaxAttempts
 	if p := r.call.Prompt; p != nil {
 		need.Deferred = r.overdue()
-		need.PromptTokens, need.Parts, need.Answer, need.Resumed = p.Tokens, p.Parts, pace.Answer{Allowed: p.MaxOutput, Hinted: p.LikelyOutput}, r.lastEventID != ""
+		need.PromptTokens, need.Parts, need.Answer, need.Resumed = p.Tokens, p.Parts, pace.AnswerSize{MaxTokens: p.MaxOutput, HintedTokens: p.LikelyOutput}, r.lastEventID != ""
 	}
 	return need
 }
--- a/internal/forward/record.go
+++ b/internal/forward/record.go
@@ -60,7 +60,7 @@
 		"request_id", r.call.ID, "route", r.call.Route.Name, "service", r.call.Service, "workspace", r.call.Workspace,
 		"content", r.content.String(), "outcome", outcome, "status", status, "took_ms", took.Milliseconds(), "first_ms", r.firstAnswerAfter.Milliseconds(), "age_ms", r.callerAge.Milliseconds(),
 		"attempts", r.history, "allowance_tokens", r.cost, "config_version", r.call.Catalog.Version,
-		"config_age_ms", time.Since(r.call.Catalog.TakenAt).Milliseconds(), "servers_age_ms", serversAge.Milliseconds(), "store_failing", storeFailing,
+		"config_age_ms", time.Since(r.call.Catalog.AppliedAt).Milliseconds(), "servers_age_ms", serversAge.Milliseconds(), "store_failing", storeFailing,
 	}
 	if v := r.verdict; v != nil {
 		attrs = append(attrs, "allowance_limit", int64(v.Limit), "allowance_used", int64(v.Used), "allowance_free", int64(v.Free),
--- a/internal/forward/version.go
+++ b/internal/forward/version.go
@@ -19,7 +19,7 @@
 		return
 	}
 	draw := float64(xxhash.Sum64String(versionSalt+r.call.ID)) / math.MaxUint64
-	r.candidate = r.options.RollOuts.AssignRequest(r.call.Service, r.call.Route.Name, !r.call.Route.MayRepeat(), draw, time.Now())
+	r.candidate = r.options.RollOuts.AssignRequest(r.call.Service, r.call.Route.Name, !r.call.Route.Retryable(), draw, time.Now())
 }
 
 // chooseRetryVersion decides whether a retry goes to the candidate version. Retries use the
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -50,7 +50,7 @@
 	// Warmup is set if the holder had just started to count RecentUses.
 	Warmup bool `json:"warmup,omitempty"`
 	// EngineFigures holds the learned performance figures of the engines, by service.
-	EngineFigures map[string]pace.EngineFigures `json:"paces,omitempty"`
+	EngineFigures map[string]pace.EngineEstimates `json:"paces,omitempty"`
 	// FirstTryLimits holds the time limits of first tries, by route.
 	FirstTryLimits map[string]time.Duration `json:"limits,omitempty"`
 	// RequestWindows holds the requests that started in the latest windows, over all
--- a/internal/pace/figures.go
+++ b/internal/pace/figures.go
@@ -1,16 +1,16 @@
 package pace
 
-// Figures are what a fit has learned, as daemons tell it to each other.
-type Figures struct {
+// Estimate are what a fit has learned, as daemons tell it to each other.
+type Estimate struct {
 	Coefficients []float64 `json:"coefficients"`
-	// Seen is the number of observations, at most as many as a fit remembers.
-	Seen float64 `json:"seen"`
+	// Samples is the number of observations, at most as many as a fit remembers.
+	Samples float64 `json:"seen"`
 }
 
-// Figures returns what the fit has learned.
-func (f *Fit) Figures() Figures {
-	figures := Figures{Seen: min(memory, f.Seen)}
-	for i, start := range f.start {
+// Estimate returns what the fit has learned.
+func (f *Fit) Estimate() Estimate {
+	figures := Estimate{Samples: min(memorySamples, f.Samples)}
+	for i, start := range f.initial {
 		if start > 0 {
 			figures.Coefficients = append(figures.Coefficients, f.Coefficients[i])
 		}
@@ -19,39 +19,39 @@
 }
 
 // Merge adds what another daemon has learned, weighed by what each has seen.
-func (f *Figures) Merge(other Figures) {
-	if !usable(other.Seen) {
+func (f *Estimate) Merge(other Estimate) {
+	if !usable(other.Samples) {
 		return
 	}
-	if f.Seen <= 0 {
-		f.Coefficients, f.Seen = append([]float64(nil), other.Coefficients...), other.Seen
+	if f.Samples <= 0 {
+		f.Coefficients, f.Samples = append([]float64(nil), other.Coefficients...), other.Samples
 		return
 	}
-	weight := other.Seen / (f.Seen + other.Seen)
+	weight := other.Samples / (f.Samples + other.Samples)
 	for i := range min(len(f.Coefficients), len(other.Coefficients)) {
 		f.Coefficients[i] += weight * (other.Coefficients[i] - f.Coefficients[i])
 	}
-	f.Seen += other.Seen
+	f.Samples += other.Samples
 }
 
-// EngineFigures are what was learned of the engines of a service.
-type EngineFigures struct {
-	First Figures `json:"first"`
-	Step  Figures `json:"step"`
-	Made  Figures `json:"made"`
-	// Hinted is like Made, for callers that say what they expect.
-	Hinted Figures `json:"hinted"`
+// EngineEstimates are what was learned of the engines of a service.
+type EngineEstimates struct {
+	First       Estimate `json:"first"`
+	Step        Estimate `json:"step"`
+	OutputRatio Estimate `json:"made"`
+	// HintRatio is like Made, for callers that say what they expect.
+	HintRatio Estimate `json:"hinted"`
 }
 
-// Figures returns what was learned.
-func (e *Engine) Figures() EngineFigures {
-	return EngineFigures{First: e.First.Figures(), Step: e.Step.Figures(), Made: e.Made.Figures(), Hinted: e.Hinted.Figures()}
+// Estimates returns what was learned.
+func (e *Engine) Estimates() EngineEstimates {
+	return EngineEstimates{First: e.First.Estimate(), Step: e.Step.Estimate(), OutputRatio: e.OutputRatio.Estimate(), HintRatio: e.HintRatio.Estimate()}
 }
 
 // Merge adds what another daemon has learned.
-func (f *EngineFigures) Merge(other EngineFigures) {
+func (f *EngineEstimates) Merge(other EngineEstimates) {
 	f.First.Merge(other.First)
 	f.Step.Merge(other.Step)
-	f.Made.Merge(other.Made)
-	f.Hinted.Merge(other.Hinted)
+	f.OutputRatio.Merge(other.OutputRatio)
+	f.HintRatio.Merge(other.HintRatio)
 }
--- a/internal/pace/fit.go
+++ b/internal/pace/fit.go
@@ -14,27 +14,27 @@
 
 // Coefficients are counted in units of their start values.
 const (
-	// startVariance is how little a start value is relied on: the slowest engines differ
+	// initialVariance is how little a start value is relied on: the slowest engines differ
 	// from it by ten times and more.
-	startVariance = 30.0
-	// least and most bound a coefficient. Engines that read 400,000 tokens a second are
+	initialVariance = 30.0
+	// minCoefficient and most bound a coefficient. Engines that read 400,000 tokens a second are
 	// at an eighth, those that read 3,000 at 16.
-	least, most = 0.01, 100.0
-	// spread is that of one observation around the truth, as a part of it: steps of
+	minCoefficient, maxCoefficient = 0.01, 100.0
+	// relativeNoise is that of one observation around the truth, as a part of it: steps of
 	// other requests and a queue that nobody told of make a quarter.
-	spread = 0.25
-	// surprising is the distance from what was predicted, as a part of the larger of
+	relativeNoise = 0.25
+	// huberThreshold is the distance from what was predicted, as a part of the larger of
 	// the two, beyond which an observation weighs no more than at it. A server that is
 	// always far off and serves one request in ten moves a fit by some hundredths, in the
 	// extremes by less than a quarter.
-	surprising = 0.3
-	// memory is the number of observations after which one has lost most of its weight
+	huberThreshold = 0.3
+	// memorySamples is the number of observations after which one has lost most of its weight
 	// (1 - 1/e): a daemon that gets 20 requests a second follows engines that are
 	// replaced within a minute, and noise of a quarter stays below a twentieth.
-	memory = 1000.0
-	// knownAfter is the number of observations after which a fit is relied on: some
+	memorySamples = 1000.0
+	// calibrationSamples is the number of observations after which a fit is relied on: some
 	// for each term, so that one odd server does not make up all of them.
-	knownAfter = 24
+	calibrationSamples = 24
 )
 
 // Fit predicts a positive quantity as a sum of known terms with learned coefficients:
@@ -44,10 +44,10 @@
 	// Coefficients belong to the terms in order. Those of terms that are not used are
 	// zero.
 	Coefficients Terms
-	// Seen is the number of observations.
-	Seen float64
-	// start are the coefficients that the fit began with.
-	start Terms
+	// Samples is the number of observations.
+	Samples float64
+	// initial are the coefficients that the fit began with.
+	initial Terms
 	// covariance is that of the coefficients' errors, in units of the start values.
 	covariance [maxTerms][maxTerms]float64
 }
@@ -55,16 +55,16 @@
 // NewFit returns a fit with coefficients to begin with.
 func NewFit(start ...float64) Fit {
 	var f Fit
-	copy(f.start[:], start)
-	f.Coefficients = f.start
+	copy(f.initial[:], start)
+	f.Coefficients = f.initial
 	for i := range start {
-		f.covariance[i][i] = startVariance
+		f.covariance[i][i] = initialVariance
 	}
 	return f
 }
 
-// Known reports whether the fit has seen enough to be relied on.
-func (f *Fit) Known() bool { return f.Seen >= knownAfter }
+// Calibrated reports whether the fit has seen enough to be relied on.
+func (f *Fit) Calibrated() bool { return f.Samples >= calibrationSamples }
 
 // Predict returns the predicted quantity.
 func (f *Fit) Predict(terms Terms) float64 {
@@ -83,42 +83,42 @@
 	}
 	scale := max(value, predicted)
 	off := math.Abs(value-predicted) / scale
-	noise := spread * scale
-	noise *= noise * max(1, off/surprising)
+	noise := relativeNoise * scale
+	noise *= noise * max(1, off/huberThreshold)
 	var slopes Terms
 	for i, t := range terms {
-		slopes[i] = t * f.start[i]
+		slopes[i] = t * f.initial[i]
 	}
 	f.forget(slopes)
-	f.correct(slopes, value-predicted, noise)
-	f.Seen++
+	f.update(slopes, value-predicted, noise)
+	f.Samples++
 }
 
 // forget widens the errors of the terms that take part in an observation.
 func (f *Fit) forget(slopes Terms) {
-	const growth = 1 + 1/memory
+	const growth = 1 + 1/memorySamples
 	for i := range slopes {
 		for j := range slopes {
 			if slopes[i] > 0 && slopes[j] > 0 {
 				f.covariance[i][j] *= growth
 			}
 		}
-		if f.covariance[i][i] > startVariance {
-			f.shrink(i, math.Sqrt(startVariance/f.covariance[i][i]))
+		if f.covariance[i][i] > initialVariance {
+			f.scaleError(i, math.Sqrt(initialVariance/f.covariance[i][i]))
 		}
 	}
 }
 
-// shrink scales the errors of one coefficient and keeps the correlations.
-func (f *Fit) shrink(i int, by float64) {
+// scaleError scales the errors of one coefficient and keeps the correlations.
+func (f *Fit) scaleError(i int, by float64) {
 	for j := range f.covariance {
 		f.covariance[i][j] *= by
 		f.covariance[j][i] *= by
 	}
 }
 
-// correct is the step of recursive least squares.
-func (f *Fit) correct(slopes Terms, off, noise float64) {
+// update is the step of recursive least squares.
+func (f *Fit) update(slopes Terms, off, noise float64) {
 	var gain Terms
 	sum := noise
 	for i := range gain {
@@ -131,38 +131,38 @@
 		return
 	}
 	for i := range gain {
-		f.set(i, f.Coefficients[i]+f.start[i]*gain[i]/sum*off)
+		f.setCoefficient(i, f.Coefficients[i]+f.initial[i]*gain[i]/sum*off)
 		for j := range gain {
 			f.covariance[i][j] -= gain[i] * gain[j] / sum
 		}
 	}
 }
 
-// set sets a coefficient within its bounds.
-func (f *Fit) set(i int, to float64) {
-	f.Coefficients[i] = max(least*f.start[i], min(most*f.start[i], to))
+// setCoefficient sets a coefficient within its bounds.
+func (f *Fit) setCoefficient(i int, to float64) {
+	f.Coefficients[i] = max(minCoefficient*f.initial[i], min(maxCoefficient*f.initial[i], to))
 }
 
-// Learn takes over coefficients that others have learned, with the weight of what
+// MergeEstimate takes over coefficients that others have learned, with the weight of what
 // they have seen against what this fit has.
-func (f *Fit) Learn(others Figures) {
-	if !usable(others.Seen) {
+func (f *Fit) MergeEstimate(others Estimate) {
+	if !usable(others.Samples) {
 		return
 	}
-	weight := others.Seen / (others.Seen + f.Seen)
+	weight := others.Samples / (others.Samples + f.Samples)
 	for i, c := range others.Coefficients {
 		if i >= maxTerms || !usable(c) {
 			continue
 		}
-		f.set(i, f.Coefficients[i]+weight*(c-f.Coefficients[i]))
-		f.shrink(i, math.Sqrt(max(blended, 1-weight)))
+		f.setCoefficient(i, f.Coefficients[i]+weight*(c-f.Coefficients[i]))
+		f.scaleError(i, math.Sqrt(max(minVarianceFactor, 1-weight)))
 	}
-	f.Seen = min(memory, f.Seen+others.Seen)
+	f.Samples = min(memorySamples, f.Samples+others.Samples)
 }
 
 // usable reports whether a figure that another process told can be worked with.
 func usable(figure float64) bool { return figure > 0 && !math.IsInf(figure, 1) }
 
-// blended is the part of the errors that is left at least when others' coefficients
+// minVarianceFactor is the part of the errors that is left at least when others' coefficients
 // are taken over: their engines may not be those of today.
-const blended = 0.02
+const minVarianceFactor = 0.02
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -16,43 +16,43 @@
 // Randomised tests take a fixed seed unless the command line gives another.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// engineModel are an engine's true figures.
-type engineModel struct {
+// trueEngine are an engine's true figures.
+type trueEngine struct {
 	first, token, pair float64
-	step, beside       float64
+	step, perStream    float64
 }
 
-func drawEngine(t *rapid.T) engineModel {
+func drawEngine(t *rapid.T) trueEngine {
 	logarithmic := func(low, high float64, name string) float64 {
 		return math.Exp(rapid.Float64Range(math.Log(low), math.Log(high)).Draw(t, name))
 	}
 	token := 1 / logarithmic(5_000, 400_000, "rate")
-	return engineModel{
+	return trueEngine{
 		first: logarithmic(0.005, 0.2, "first"), token: token,
 		// Pairs take as long as tokens in a prompt of this size.
-		pair: token * million / logarithmic(15_000, 100_000, "even"),
-		step: logarithmic(0.002, 0.03, "step"), beside: logarithmic(0.00001, 0.0005, "beside"),
+		pair: token * pairUnit / logarithmic(15_000, 100_000, "even"),
+		step: logarithmic(0.002, 0.03, "step"), perStream: logarithmic(0.00001, 0.0005, "beside"),
 	}
 }
 
-func (m engineModel) firstEvent(w Work) float64 {
+func (m trueEngine) firstEvent(w Work) float64 {
 	terms := w.terms()
 	return m.first*terms[0] + m.token*terms[1] + m.pair*terms[2]
 }
 
-// work draws prompts whose sizes differ a hundredfold, some of them cached in part.
-func work(random *rand.Rand) Work {
+// drawWork draws prompts whose sizes differ a hundredfold, some of them cached in part.
+func drawWork(random *rand.Rand) Work {
 	prompt := int(2500 * math.Exp(1.2*random.NormFloat64()))
 	prompt = max(50, min(60_000, prompt))
-	return Work{Prompt: prompt, Unread: max(1, prompt-random.IntN(prompt))}
+	return Work{PromptTokens: prompt, PrefillTokens: max(1, prompt-random.IntN(prompt))}
 }
 
-// noise is what a run takes beside its own work.
-func noise(random *rand.Rand) float64 { return math.Exp(0.15 * random.NormFloat64()) }
+// drawNoise is what a run takes beside its own work.
+func drawNoise(random *rand.Rand) float64 { return math.Exp(0.15 * random.NormFloat64()) }
 
-// manySeen is the number of requests after which a fit is held to its promise: five
+// convergedSamples is the number of requests after which a fit is held to its promise: five
 // seconds of the smallest of the users' deployments.
-const manySeen = 800
+const convergedSamples = 800
 
 // TestFirstEventIsLearned: whatever the engine, what is predicted is within a tenth of
 // the truth for short, middling and long prompts.
@@ -61,12 +61,12 @@
 		model := drawEngine(t)
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		e := NewEngine(0)
-		for range manySeen {
-			w := work(random)
-			e.SawFirst(w, seconds(model.firstEvent(w)*noise(random)))
+		for range convergedSamples {
+			w := drawWork(random)
+			e.ObserveFirst(w, seconds(model.firstEvent(w)*drawNoise(random)))
 		}
 		for _, size := range []int{300, 3000, 10_000} {
-			w := Work{Prompt: size, Unread: size}
+			w := Work{PromptTokens: size, PrefillTokens: size}
 			got, want := e.FirstEvent(w).Seconds(), model.firstEvent(w)
 			if off := math.Abs(math.Log(got / want)); off > 0.1 {
 				t.Fatalf("%d tokens: %.4f s predicted, %.4f s true, engine %+v, learned %v", size, got, want, model, e.First.Coefficients)
@@ -80,13 +80,13 @@
 		model := drawEngine(t)
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		e := NewEngine(0)
-		for range manySeen {
+		for range convergedSamples {
 			batch, tokens := 1+random.IntN(24), 2+random.IntN(300)
-			took := float64(tokens-1) * (model.step + model.beside*float64(batch)) * noise(random)
-			e.SawStream(tokens, Answer{Allowed: 2 * tokens}, batch, seconds(took))
+			took := float64(tokens-1) * (model.step + model.perStream*float64(batch)) * drawNoise(random)
+			e.ObserveStream(tokens, AnswerSize{MaxTokens: 2 * tokens}, batch, seconds(took))
 		}
-		got := e.Stream(Answer{Allowed: 200}, 12).Seconds()
-		want := 100 * (model.step + model.beside*12)
+		got := e.StreamTime(AnswerSize{MaxTokens: 200}, 12).Seconds()
+		want := 100 * (model.step + model.perStream*12)
 		if off := math.Abs(math.Log(got / want)); off > 0.1 {
 			t.Fatalf("%.4f s predicted, %.4f s true", got, want)
 		}
@@ -101,16 +101,16 @@
 		lie := rapid.SampledFrom([]float64{0.001, 0.1, 8, 1000}).Draw(t, "lie")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		honest, mixed := NewEngine(0), NewEngine(0)
-		for i := range 2 * manySeen {
-			w := work(random)
-			took := model.firstEvent(w) * noise(random)
-			honest.SawFirst(w, seconds(took))
+		for i := range 2 * convergedSamples {
+			w := drawWork(random)
+			took := model.firstEvent(w) * drawNoise(random)
+			honest.ObserveFirst(w, seconds(took))
 			if i%10 == 0 {
 				took *= lie
 			}
-			mixed.SawFirst(w, seconds(took))
+			mixed.ObserveFirst(w, seconds(took))
 		}
-		w := Work{Prompt: 3000, Unread: 3000}
+		w := Work{PromptTokens: 3000, PrefillTokens: 3000}
 		off := math.Abs(math.Log(mixed.FirstEvent(w).Seconds() / honest.FirstEvent(w).Seconds()))
 		if off > 0.25 {
 			t.Fatalf("moved by %.2f: %v, honest %v, true %+v", off, mixed.First.Coefficients, honest.First.Coefficients, model)
@@ -118,48 +118,48 @@
 	})
 }
 
-func TestNothingIsReliedOnAtFirst(t *testing.T) {
+func TestModelIsNotCalibratedAtFirst(t *testing.T) {
 	c := qt.New(t)
 	e := NewEngine(0)
-	for range knownAfter {
-		c.Check(e.Known(), qt.IsFalse)
-		e.SawFirst(Work{Prompt: 100, Unread: 100}, time.Second)
+	for range calibrationSamples {
+		c.Check(e.Calibrated(), qt.IsFalse)
+		e.ObserveFirst(Work{PromptTokens: 100, PrefillTokens: 100}, time.Second)
 	}
-	c.Check(e.Known(), qt.IsTrue)
+	c.Check(e.Calibrated(), qt.IsTrue)
 }
 
-// TestLearningWeighsWhatWasSeen: one that has just started takes over what others know,
+// TestMergeWeighsBySamples: one that has just started takes over what others know,
 // one that has seen as much as they goes half the way.
-func TestLearningWeighsWhatWasSeen(t *testing.T) {
+func TestMergeWeighsBySamples(t *testing.T) {
 	c := qt.New(t)
-	others := Figures{Coefficients: []float64{0.4}, Seen: 100}
+	others := Estimate{Coefficients: []float64{0.4}, Samples: 100}
 	fresh := NewFit(0.1)
-	fresh.Learn(others)
+	fresh.MergeEstimate(others)
 	c.Check(math.Abs(fresh.Coefficients[0]-0.4) < 1e-9, qt.IsTrue)
-	c.Check(fresh.Known(), qt.IsTrue)
+	c.Check(fresh.Calibrated(), qt.IsTrue)
 	settled := NewFit(0.1)
-	settled.Seen = 100
-	settled.Learn(others)
+	settled.Samples = 100
+	settled.MergeEstimate(others)
 	c.Check(math.Abs(settled.Coefficients[0]-0.25) < 1e-9, qt.IsTrue, qt.Commentf("%v", settled.Coefficients))
 }
 
-func TestOddFiguresAreIgnored(t *testing.T) {
+func TestInvalidEstimatesAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	f := NewFit(0.1, 0.2)
-	f.Learn(Figures{Coefficients: []float64{math.NaN(), math.Inf(1), -1, 0, 5, 6, 7}, Seen: 10})
+	f.MergeEstimate(Estimate{Coefficients: []float64{math.NaN(), math.Inf(1), -1, 0, 5, 6, 7}, Samples: 10})
 	c.Check(f.Coefficients, qt.Equals, Terms{0.1, 0.2})
-	f.Learn(Figures{Coefficients: []float64{1}, Seen: math.NaN()})
-	f.Learn(Figures{Coefficients: []float64{1}, Seen: math.Inf(1)})
+	f.MergeEstimate(Estimate{Coefficients: []float64{1}, Samples: math.NaN()})
+	f.MergeEstimate(Estimate{Coefficients: []float64{1}, Samples: math.Inf(1)})
 	c.Check(f.Coefficients, qt.Equals, Terms{0.1, 0.2})
 }
 
-func TestOddValuesAreIgnored(t *testing.T) {
+func TestInvalidObservationsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	e := NewEngine(0)
 	before := *e
-	e.SawFirst(Work{Prompt: 100, Unread: 100}, 0)
-	e.SawFirst(Work{Prompt: 100, Unread: 100}, -time.Second)
-	e.SawStream(0, Answer{}, 3, time.Second)
+	e.ObserveFirst(Work{PromptTokens: 100, PrefillTokens: 100}, 0)
+	e.ObserveFirst(Work{PromptTokens: 100, PrefillTokens: 100}, -time.Second)
+	e.ObserveStream(0, AnswerSize{}, 3, time.Second)
 	c.Check(e.First, qt.Equals, before.First, qt.Commentf("%+v", e.First))
 	c.Check(e.Step, qt.Equals, before.Step)
 }
@@ -170,7 +170,7 @@
 	r := NewRatio(1)
 	random := rand.New(rand.NewPCG(1, 1))
 	made, allowed := 0.0, 0.0
-	for range manySeen {
+	for range convergedSamples {
 		limit := 100 + 900*random.Float64()
 		tokens := 0.3 * limit * math.Exp(random.NormFloat64()-0.5)
 		made, allowed = made+tokens, allowed+limit
--- a/internal/request/life.go
+++ b/internal/request/life.go
@@ -64,8 +64,8 @@
 	StepHandOver Step = "hand-over"
 )
 
-// Life is the state machine of one accepted request.
-type Life struct {
+// Lifecycle is the state machine of one accepted request.
+type Lifecycle struct {
 	idempotent bool
 	state      State
 	attempts   int
@@ -77,24 +77,24 @@
 // maxHistory bounds the recorded steps; tokens are recorded once.
 const maxHistory = 64
 
-// NewLife returns the life of a request that has just been accepted.
-func NewLife(idempotent bool) *Life {
-	return &Life{idempotent: idempotent, state: StateAccepted}
+// NewLifecycle returns the life of a request that has just been accepted.
+func NewLifecycle(idempotent bool) *Lifecycle {
+	return &Lifecycle{idempotent: idempotent, state: StateAccepted}
 }
 
 // State returns the present state.
-func (l *Life) State() State { return l.state }
+func (l *Lifecycle) State() State { return l.state }
 
 // Attempts returns the number of attempts begun.
-func (l *Life) Attempts() int { return l.attempts }
+func (l *Lifecycle) Attempts() int { return l.attempts }
 
 // History returns the steps so far.
-func (l *Life) History() []Step { return l.history }
+func (l *Lifecycle) History() []Step { return l.history }
 
 // MayDispatch returns nil when another attempt may begin.
-func (l *Life) MayDispatch() error {
+func (l *Lifecycle) MayDispatch() error {
 	if l.state != StateAccepted {
-		return l.violation(StepDispatch)
+		return l.invariantError(StepDispatch)
 	}
 	if l.mayHaveRun && !l.idempotent {
 		return ErrMayHaveRun
@@ -105,8 +105,8 @@
 // Apply takes a step. It returns ErrMayHaveRun for a dispatch that must not
 // be, and ErrInvariant for a step that the present state does not have. A
 // step that returns an error changes nothing.
-func (l *Life) Apply(step Step) error {
-	next, err := l.next(step)
+func (l *Lifecycle) Apply(step Step) error {
+	next, err := l.nextState(step)
 	if err != nil {
 		return err
 	}
@@ -115,16 +115,16 @@
 		l.attempts++
 		l.mayHaveRun = true
 	case StepNotSent, StepDeclined:
-		l.mayHaveRun = l.attemptsBefore()
+		l.mayHaveRun = l.earlierAttemptLost()
 	}
 	l.state = next
-	l.record(step)
+	l.recordStep(step)
 	return nil
 }
 
-// attemptsBefore reports whether an attempt before the present one may have
+// earlierAttemptLost reports whether an attempt before the present one may have
 // run. Every such attempt ended in StepLost.
-func (l *Life) attemptsBefore() bool {
+func (l *Lifecycle) earlierAttemptLost() bool {
 	for _, step := range l.history {
 		if step == StepLost {
 			return true
@@ -133,7 +133,7 @@
 	return false
 }
 
-func (l *Life) record(step Step) {
+func (l *Lifecycle) recordStep(step Step) {
 	if step == StepToken && len(l.history) > 0 && l.history[len(l.history)-1] == StepToken {
 		return
 	}
@@ -142,7 +142,7 @@
 	}
 }
 
-func (l *Life) next(step Step) (State, error) {
+func (l *Lifecycle) nextState(step Step) (State, error) {
 	running := l.state == StateDispatched || l.state == StateStreaming
 	switch {
 	case step == StepDispatch:
@@ -153,7 +153,7 @@
 	case step == StepHandOver && l.state == StateAccepted:
 		return StateHandedOver, l.MayDispatch()
 	case step == StepGiveUp && l.state == StateAccepted:
-		return l.givenUp(), nil
+		return l.stateAfterGiveUp(), nil
 	case (step == StepNotSent || step == StepDeclined) && l.state == StateDispatched:
 		return StateAccepted, nil
 	case step == StepLost && running:
@@ -163,23 +163,23 @@
 	case step == StepAnswer && running:
 		return StateAnswered, nil
 	}
-	return l.state, l.violation(step)
+	return l.state, l.invariantError(step)
 }
 
-// givenUp is the final state when no further attempt will be made.
-func (l *Life) givenUp() State {
+// stateAfterGiveUp is the final state when no further attempt will be made.
+func (l *Lifecycle) stateAfterGiveUp() State {
 	if l.mayHaveRun && !l.idempotent {
 		return StateUnknown
 	}
 	return StateFailed
 }
 
-func (l *Life) violation(step Step) error {
+func (l *Lifecycle) invariantError(step Step) error {
 	return fmt.Errorf("%w: step %s in state %s after %v", ErrInvariant, step, l.state, l.history)
 }
 
 // Outcome returns what the caller may be told in the present state.
-func (l *Life) Outcome() Outcome {
+func (l *Lifecycle) Outcome() Outcome {
 	switch {
 	case l.state == StateAnswered:
 		return OutcomeOK
--- a/internal/request/life_test.go
+++ b/internal/request/life_test.go
@@ -17,7 +17,7 @@
 func TestLifeKeepsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		idempotent := rapid.Bool().Draw(t, "idempotent")
-		life := NewLife(idempotent)
+		life := NewLifecycle(idempotent)
 		reached := 0 // attempts that may have reached a backend server
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			step := rapid.SampledFrom(allSteps).Draw(t, "step")
@@ -57,7 +57,7 @@
 
 func TestNonIdempotentIsNotSentAgain(t *testing.T) {
 	c := qt.New(t)
-	life := NewLife(false)
+	life := NewLifecycle(false)
 	for _, step := range []Step{StepDispatch, StepNotSent, StepDispatch, StepLost} {
 		c.Assert(life.Apply(step), qt.IsNil)
 	}
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -105,10 +105,10 @@
 	return p, nil
 }
 
-// Continues reports whether the answer goes on from a position. It does not
+// CanResumeFrom reports whether the answer goes on from a position. It does not
 // when the position lies in an earlier run, behind the tokens that the present
 // run began with: the tokens up to there may have been others.
-func (s *Spec) Continues(p Position) bool {
+func (s *Spec) CanResumeFrom(p Position) bool {
 	return p.Run == s.Run || (p.Run < s.Run && p.Offset <= s.RunBase)
 }
 
--- a/internal/rollup/rollup.go
+++ b/internal/rollup/rollup.go
@@ -32,7 +32,7 @@
 	// Demand is the demand for each service's engines.
 	Demand map[string]demand.Load
 	// Paces holds the measured figures of each service's engines.
-	Paces map[string]pace.EngineFigures
+	Paces map[string]pace.EngineEstimates
 	// Versions holds the results of service versions that are being rolled out.
 	Versions rollout.Tallies
 }
@@ -288,7 +288,7 @@
 // NewCounts returns empty Counts.
 func NewCounts() Counts {
 	return Counts{
-		Spent: map[string]float64{}, Refused: map[string]float64{}, Loads: map[uint32]backend.Load{}, Demand: map[string]demand.Load{}, Paces: map[string]pace.EngineFigures{},
+		Spent: map[string]float64{}, Refused: map[string]float64{}, Loads: map[uint32]backend.Load{}, Demand: map[string]demand.Load{}, Paces: map[string]pace.EngineEstimates{},
 		Versions: rollout.NewTallies(),
 	}
 }
--- a/internal/rollup/rollup_test.go
+++ b/internal/rollup/rollup_test.go
@@ -15,7 +15,7 @@
 func testCounts(tokens float64) Counts {
 	return Counts{
 		Spent: map[string]float64{"w": tokens}, Loads: map[uint32]backend.Load{7: {Running: 1, PendingTokens: 100}},
-		Demand: map[string]demand.Load{"s": {Reading: 1, Places: 2, Memory: 3}},
+		Demand: map[string]demand.Load{"s": {Prefill: 1, Batch: 2, Memory: 3}},
 	}
 }
 
@@ -29,7 +29,7 @@
 	all := s.All(start)
 	c.Check(all.Spent["w"], qt.Equals, 325.0, qt.Commentf("the first summary of a zone adds no tokens"))
 	c.Check(all.Loads[7], qt.Equals, backend.Load{Running: 3, PendingTokens: 300})
-	c.Check(all.Demand["s"], qt.Equals, demand.Load{Reading: 3, Places: 6, Memory: 9})
+	c.Check(all.Demand["s"], qt.Equals, demand.Load{Prefill: 3, Batch: 6, Memory: 9})
 	c.Check(s.Zone(start).Spent["w"], qt.Equals, 25.0)
 	spentByOthers, _ := s.SpentByOthers()
 	c.Check(spentByOthers["w"], qt.Equals, 320.0)
--- a/internal/router/allowances_test.go
+++ b/internal/router/allowances_test.go
@@ -25,7 +25,7 @@
 				c := qt.New(t)
 				asked := 0
 				a := newAllowances(allowance.Tolerance{}, slog.New(slog.DiscardHandler), func() { asked++ })
-				a.applyCatalog((&catalog.Catalog{Workspaces: []catalog.Workspace{{Name: "w", TokensPerSecond: 1000, Burst: 1000}}}).Build())
+				a.applyCatalog((&catalog.Catalog{Workspaces: []catalog.Workspace{{Name: "w", RatePerSecond: 1000, Burst: 1000}}}).Build())
 				for range 100 {
 					time.Sleep(allowance.StallThreshold / 3)
 					a.own()
--- a/internal/router/encode.go
+++ b/internal/router/encode.go
@@ -39,12 +39,12 @@
 	}
 	for service, load := range c.Demand {
 		counts.Demands = append(counts.Demands, &gossippb.Demand{
-			Service: service, Reading: load.Reading, Places: load.Places, Memory: load.Memory,
+			Service: service, Reading: load.Prefill, Places: load.Batch, Memory: load.Memory,
 		})
 	}
 	for service, learned := range c.Paces {
 		counts.Paces = append(counts.Paces, &gossippb.Pace{
-			Service: service, First: encodeFigures(learned.First), Step: encodeFigures(learned.Step), Made: encodeFigures(learned.Made), Hinted: encodeFigures(learned.Hinted),
+			Service: service, First: encodeFigures(learned.First), Step: encodeFigures(learned.Step), Made: encodeFigures(learned.OutputRatio), Hinted: encodeFigures(learned.HintRatio),
 		})
 	}
 	for key, tally := range c.Versions.Answers {
@@ -59,12 +59,12 @@
 	return counts
 }
 
-func encodeFigures(f pace.Figures) *gossippb.Figures {
-	return &gossippb.Figures{Coefficients: f.Coefficients, Seen: f.Seen}
+func encodeFigures(f pace.Estimate) *gossippb.Figures {
+	return &gossippb.Figures{Coefficients: f.Coefficients, Seen: f.Samples}
 }
 
-func decodeFigures(f *gossippb.Figures) pace.Figures {
-	return pace.Figures{Coefficients: f.GetCoefficients(), Seen: f.GetSeen()}
+func decodeFigures(f *gossippb.Figures) pace.Estimate {
+	return pace.Estimate{Coefficients: f.GetCoefficients(), Samples: f.GetSeen()}
 }
 
 func decodeCounts(c *gossippb.Counts) rollup.Counts {
@@ -77,11 +77,11 @@
 		counts.Loads[l.GetKey()] = backend.Load{Running: int(l.GetRunning()), PendingTokens: int(l.GetPendingTokens())}
 	}
 	for _, d := range c.GetDemands() {
-		counts.Demand[d.GetService()] = demand.Load{Reading: d.GetReading(), Places: d.GetPlaces(), Memory: d.GetMemory()}
+		counts.Demand[d.GetService()] = demand.Load{Prefill: d.GetReading(), Batch: d.GetPlaces(), Memory: d.GetMemory()}
 	}
 	for _, p := range c.GetPaces() {
-		counts.Paces[p.GetService()] = pace.EngineFigures{
-			First: decodeFigures(p.GetFirst()), Step: decodeFigures(p.GetStep()), Made: decodeFigures(p.GetMade()), Hinted: decodeFigures(p.GetHinted()),
+		counts.Paces[p.GetService()] = pace.EngineEstimates{
+			First: decodeFigures(p.GetFirst()), Step: decodeFigures(p.GetStep()), OutputRatio: decodeFigures(p.GetMade()), HintRatio: decodeFigures(p.GetHinted()),
 		}
 	}
 	for _, t := range c.GetTallies() {
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -35,7 +35,7 @@
 func (s *state) recall(memory lease.Snapshot, listed int, now time.Time) bool {
 	daemons := max(listed, memory.Daemons)
 	s.view.MergeEngineFigures(memory.EngineFigures)
-	s.limits.Recall(memory.FirstTryLimits)
+	s.limits.Restore(memory.FirstTryLimits)
 	// Counts only grow: where daemons that are still there know more, theirs stand.
 	s.ledger.MergeAll(memory.RequestWindows)
 	opened := s.openAllowances(memory)
@@ -72,9 +72,9 @@
 	for service, learned := range s.view.EngineFigures() {
 		load := s.Demand(service)
 		s.router.logger.Info("pace of engines", "service", service,
-			"first_seconds", learned.First.Coefficients, "first_seen", learned.First.Seen,
-			"step_seconds", learned.Step.Coefficients, "step_seen", learned.Step.Seen, "made", learned.Made.Coefficients, "hinted", learned.Hinted.Coefficients,
-			"reading", load.Reading, "places", load.Places, "memory", load.Memory)
+			"first_seconds", learned.First.Coefficients, "first_seen", learned.First.Samples,
+			"step_seconds", learned.Step.Coefficients, "step_seen", learned.Step.Samples, "made", learned.OutputRatio.Coefficients, "hinted", learned.HintRatio.Coefficients,
+			"reading", load.Prefill, "places", load.Batch, "memory", load.Memory)
 	}
 }
 
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -58,7 +58,7 @@
 	}
 	if c := b.state.Catalog(); c != nil {
 		gauge(configVersion, float64(c.Version))
-		gauge(configAge, now.Sub(c.TakenAt).Seconds())
+		gauge(configAge, now.Sub(c.AppliedAt).Seconds())
 	} else {
 		gauge(configVersion, 0)
 	}
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -24,7 +24,7 @@
 	limiter *allowances
 	ledger  *usage.Ledger
 	demand  *demand.Meter
-	limits  *firsttry.Limits
+	limits  *firsttry.CallerTimeouts
 	// quarantine holds back requests that end servers.
 	quarantine *watch.Watcher
 	catalog    atomic.Pointer[catalog.Catalog]
@@ -106,7 +106,7 @@
 	view.SetLimiter(serverLimits{limiter})
 	return &state{
 		router: r, view: view, limiter: limiter, ledger: newLedger(r.settings),
-		demand: demand.NewMeter(), limits: firsttry.NewLimits(), sums: rollup.New(), sent: map[uint64]rollup.Counts{},
+		demand: demand.NewMeter(), limits: firsttry.NewCallerTimeouts(), sums: rollup.New(), sent: map[uint64]rollup.Counts{},
 		quarantine: r.newQuarantine(), started: now, configured: make(chan struct{}), listing: newListing(), differs: map[string]time.Time{},
 	}
 }
@@ -128,7 +128,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return own.Add(s.lead.demand[service].Less(s.lead.without[service]))
+	return own.Add(s.lead.demand[service].Minus(s.lead.without[service]))
 }
 
 // failing reports whether the store does not answer this daemon, or does not reach it.
@@ -160,12 +160,12 @@
 	}
 	for name, service := range c.Services {
 		if service.Scaling != nil {
-			s.demand.Boots(name, service.Scaling.BootTime, time.Now())
+			s.demand.SetBootTime(name, service.Scaling.BootTime, time.Now())
 		}
 	}
 	s.view.SetTraits(traits)
 	s.limiter.applyCatalog(c)
-	c.TakenAt = time.Now()
+	c.AppliedAt = time.Now()
 	s.catalog.Store(c)
 	if before == nil {
 		close(s.configured)
@@ -178,8 +178,8 @@
 // traitsOf returns what the configuration says of a service's engines.
 func traitsOf(engine catalog.Engine) backend.Traits {
 	traits := backend.Traits{CacheTokens: engine.CacheTokens, EventTokens: engine.EventTokens}
-	if engine.TokenBytes > 0 {
-		traits.FetchRate = engine.LinkBytes / float64(engine.TokenBytes)
+	if engine.KVBytesPerToken > 0 {
+		traits.FetchRate = engine.LinkBytesPerSecond / float64(engine.KVBytesPerToken)
 	}
 	return traits
 }
