--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,6 +1,6 @@
-// Package discovery knows the VMs of the deployment: the backend servers with
-// what this daemon has in flight on each, and the other daemons. It learns
-// them from the VM list and from reclaim notices.
+// Package discovery maintains the registry of VMs in the deployment: the backend servers, with the
+// requests that this daemon has in flight on each, and the other daemons. Its sources are the VM
+// list and reclaim notices.
 package discovery
 
 import (
@@ -19,25 +19,25 @@
 )
 
 const (
-	// longPollTimeout is how long one call waits at the VM list or at the notices.
+	// longPollTimeout is the wait time of one long poll of the VM list or of the reclaim notices.
 	longPollTimeout = 30 * time.Second
-	// retryDelay follows a failed call.
+	// retryDelay is the delay before a failed platform call is retried.
 	retryDelay = time.Second
-	// evacuationMargin is the time before a reclaim's deadline at which
-	// running streams move away.
+	// evacuationMargin is how long before the deadline of a reclaim running streams are moved to
+	// other servers.
 	evacuationMargin = time.Second
-	// initialSuspectTime is the first time that a failed server is avoided; it
-	// doubles with each failure up to maxSuspectTime.
+	// initialSuspectTime is how long a server is avoided after its first failure. The time doubles
+	// with each consecutive failure, up to maxSuspectTime.
 	initialSuspectTime = time.Second
 	maxSuspectTime     = 30 * time.Second
-	// excessDelayHalfLife is the time in which an observed delay loses half of its
-	// weight.
+	// excessDelayHalfLife is the half-life of the weight of an observed excess delay.
 	excessDelayHalfLife = 5 * time.Second
-	// serviceTimeWeight is the weight of a new observation of the service time.
+	// serviceTimeWeight is the weight of a new observation in the moving average of the service
+	// time.
 	serviceTimeWeight = 0.2
 )
 
-// Registry holds the VMs. It is safe for concurrent use.
+// Registry holds the VMs of the deployment. It is safe for concurrent use.
 type Registry struct {
 	self        string
 	selfLeaving chan time.Time
@@ -50,8 +50,8 @@
 	revision        int64
 	changed         chan struct{}
 	onDaemonsChange []func([]vmlist.VM, int64)
-	// ownDemand is what this daemon's callers ask for now, by service, and demands what daemons have
-	// reported of theirs, by service and daemon.
+	// ownDemand is the current demand of this daemon's callers, by service. demands holds the
+	// demand that each daemon has reported, by service and daemon.
 	ownDemand map[string]demand
 	demands   map[string]map[string]demand
 }
@@ -69,19 +69,19 @@
 	excessDelay         time.Duration
 	excessDelayAt       time.Time
 	serviceTime         time.Duration
-	// limit is the server's latest request limit, liftedAt when it last ended, and quota this daemon's
-	// part of it.
+	// limit is the server's latest request limit, liftedAt the time when it last ended, and quota
+	// this daemon's share of it.
 	limit    advice.Limit
 	liftedAt time.Time
 	quota    quota
-	// leaving is whether it has announced that it leaves.
+	// leaving holds whether the server has announced that it leaves.
 	leaving leavingState
-	// backoffUntil is until when the server wants no requests from this daemon.
+	// backoffUntil is the end of the period in which the server accepts no requests from this
+	// daemon.
 	backoffUntil time.Time
 }
 
-// NewRegistry returns a registry without VMs for the daemon on the VM with the
-// ID self.
+// NewRegistry returns an empty registry for the daemon on the VM with the ID self.
 func NewRegistry(self string, logger *slog.Logger) *Registry {
 	return &Registry{
 		self:        self,
@@ -95,7 +95,7 @@
 	}
 }
 
-// ApplyConfig takes over speeds and prices of a new generation.
+// ApplyConfig sets the configuration from which prefill rates and prices are read.
 func (r *Registry) ApplyConfig(index *config.Index) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,8 +103,8 @@
 	r.notifyChanged()
 }
 
-// OnDaemonsChange registers a function that is called with the daemons of the
-// deployment, and the revision of the VM list, whenever they change.
+// OnDaemonsChange registers a function that is called with all daemons of the deployment and the
+// revision of the VM list whenever the daemons change.
 func (r *Registry) OnDaemonsChange(f func(daemons []vmlist.VM, revision int64)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -116,14 +116,14 @@
 	r.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed at the next change of the registry.
 func (r *Registry) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
 
-// Run follows the VM list and the notices until the context ends.
+// Run polls the VM list and the reclaim notices until the context ends.
 func (r *Registry) Run(ctx context.Context, lister vmlist.VMLister, provider cloud.Provider) {
 	var loops sync.WaitGroup
 	loops.Go(func() { r.pollVMList(ctx, lister) })
@@ -135,7 +135,7 @@
 	for ctx.Err() == nil {
 		changes, err := lister.ListVMs(ctx, r.revision, longPollTimeout)
 		if err != nil {
-			r.waitAfterError(ctx, "read VM list", err)
+			r.waitAfterError(ctx, "list VMs", err)
 			continue
 		}
 		r.Apply(changes)
@@ -147,7 +147,7 @@
 	for ctx.Err() == nil {
 		notices, err := provider.Notices(ctx, after, longPollTimeout)
 		if err != nil {
-			r.waitAfterError(ctx, "read reclaim notices", err)
+			r.waitAfterError(ctx, "get reclaim notices", err)
 			continue
 		}
 		for _, notice := range notices {
@@ -157,18 +157,18 @@
 	}
 }
 
-func (r *Registry) waitAfterError(ctx context.Context, what string, err error) {
+func (r *Registry) waitAfterError(ctx context.Context, call string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	r.logger.Warn("platform call failed", "call", what, "error", err)
+	r.logger.Warn("platform call failed", "call", call, "error", err)
 	select {
 	case <-time.After(retryDelay):
 	case <-ctx.Done():
 	}
 }
 
-// Apply takes over changes of the VM list.
+// Apply applies changes of the VM list.
 func (r *Registry) Apply(changes vmlist.VMChanges) {
 	r.mu.Lock()
 	if changes.Full {
@@ -194,7 +194,7 @@
 	}
 }
 
-// notifyDaemonsChange tells who has asked for it which daemons there are.
+// notifyDaemonsChange calls the functions registered with OnDaemonsChange.
 func (r *Registry) notifyDaemonsChange() {
 	r.mu.Lock()
 	callbacks := slices.Clone(r.onDaemonsChange)
@@ -206,11 +206,11 @@
 	}
 }
 
-// SelfLeaving returns a channel that gives the deadline when the reclaim of the
-// daemon's own VM is announced.
+// SelfLeaving returns a channel that receives the deadline when the reclaim of this daemon's own VM
+// is announced.
 func (r *Registry) SelfLeaving() <-chan time.Time { return r.selfLeaving }
 
-// removeMissing drops what a whole list no longer holds.
+// removeMissing removes the servers and daemons that a full VM list does not contain.
 func (r *Registry) removeMissing(vms []vmlist.VM) {
 	present := map[string]bool{}
 	for _, vm := range vms {
@@ -256,14 +256,14 @@
 		r.servers[vm.ID] = s
 		return
 	}
-	// A notice can be ahead of the list; leaving is never taken back.
+	// A reclaim notice can arrive before the list is updated, and leaving is never reverted.
 	if s.vm.State == vmlist.VMLeaving {
 		vm.State = vmlist.VMLeaving
 	}
 	s.vm = vm
 }
 
-// evacuateNow tells the attempts on the server to move away at once.
+// evacuateNow signals all attempts on the server to move to another server immediately.
 func (s *server) evacuateNow() {
 	if s.evacuationTimer != nil {
 		s.evacuationTimer.Stop()
@@ -274,7 +274,7 @@
 	}
 }
 
-// HandleReclaimNotice marks a VM as leaving. Streams on it move away shortly before the
+// HandleReclaimNotice marks a VM as leaving. Streams on the VM are moved shortly before the
 // deadline.
 func (r *Registry) HandleReclaimNotice(id string, deadline time.Time) {
 	if id == r.self {
@@ -288,7 +288,7 @@
 	}
 }
 
-// markLeaving reports whether the VM is a daemon's.
+// markLeaving marks a VM as leaving and reports whether the VM is a daemon's.
 func (r *Registry) markLeaving(id string, deadline time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -303,9 +303,9 @@
 		return false
 	}
 	s.vm.State = vmlist.VMLeaving
-	left := time.Until(deadline)
-	margin := min(evacuationMargin, left/2)
-	s.evacuationTimer = time.AfterFunc(left-margin, func() {
+	remaining := time.Until(deadline)
+	margin := min(evacuationMargin, remaining/2)
+	s.evacuationTimer = time.AfterFunc(remaining-margin, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		s.evacuateNow()
@@ -314,7 +314,7 @@
 	return false
 }
 
-// Daemons returns the entry VMs ordered by ID.
+// Daemons returns the entry VMs, ordered by ID.
 func (r *Registry) Daemons() []vmlist.VM {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -326,7 +326,7 @@
 	return daemons
 }
 
-// ServerCounts returns the number of servers of each service by state.
+// ServerCounts returns the number of servers of each service, by state.
 func (r *Registry) ServerCounts() map[string]map[vmlist.VMState]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -340,8 +340,8 @@
 	return counts
 }
 
-// Candidates returns the servers of a service for the router, for a prompt of so many
-// tokens.
+// Candidates returns the servers of a service for the router. It counts a request toward the demand
+// for the service; promptTokens is the size of its prompt.
 func (r *Registry) Candidates(service string, promptTokens int, now time.Time) []route.Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -363,7 +363,7 @@
 }
 
 func (r *Registry) candidate(s *server, definition *config.Service, promptTokens int, now time.Time) route.Server {
-	view := route.Server{
+	candidate := route.Server{
 		ID:               s.vm.ID,
 		Zone:             s.vm.Zone,
 		Address:          s.vm.Address,
@@ -377,15 +377,15 @@
 		CrossZoneLatency: route.DefaultCrossZoneLatency,
 	}
 	if definition.Model != nil {
-		view.MaxBatch = definition.Model.MaxBatch
-		view.Queue = prefillTime(s.pendingPromptTokens, definition.Model.PrefillRate)
-		view.IdleWait = prefillTime(promptTokens, definition.Model.PrefillRate)
+		candidate.MaxBatch = definition.Model.MaxBatch
+		candidate.Queue = prefillTime(s.pendingPromptTokens, definition.Model.PrefillRate)
+		candidate.IdleWait = prefillTime(promptTokens, definition.Model.PrefillRate)
 	}
-	return view
+	return candidate
 }
 
-// prefillTime returns how long an engine reads so many tokens at a rate in tokens per
-// second, nothing where the rate is not known.
+// prefillTime returns how long an engine takes to prefill the tokens at a rate in tokens per
+// second. It returns zero if the rate is unknown.
 func prefillTime(tokens int, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
@@ -393,11 +393,12 @@
 	return time.Duration(float64(tokens) / rate * float64(time.Second))
 }
 
-// decayedExcessDelay halves the observed delay with each half-life that has passed.
+// decayedExcessDelay returns the excess delay, halved for each half-life that has passed since it
+// was observed.
 func (s *server) decayedExcessDelay(now time.Time) time.Duration {
-	halves := now.Sub(s.excessDelayAt) / excessDelayHalfLife
-	if halves > 16 {
+	halvings := now.Sub(s.excessDelayAt) / excessDelayHalfLife
+	if halvings > 16 {
 		return 0
 	}
-	return s.excessDelay >> halves
+	return s.excessDelay >> halvings
 }
--- a/internal/discovery/leaving_test.go
+++ b/internal/discovery/leaving_test.go
@@ -30,27 +30,28 @@
 	_, found := all[0].RetryAfter("s", start.Add(time.Second))
 	c.Check(found, qt.IsFalse)
 
-	told := start.Add(500 * time.Millisecond)
-	c.Check(all[1].MergeAdvice(all[0].Advice(told), told), qt.IsTrue)
-	c.Check(canAcquire(all[1], told), qt.IsFalse)
+	later := start.Add(500 * time.Millisecond)
+	c.Check(all[1].MergeAdvice(all[0].Advice(later), later), qt.IsTrue)
+	c.Check(canAcquire(all[1], later), qt.IsFalse)
 }
 
-// TestServersAreUsedAgainAfterTheyLeft guards against a server that stays out since nobody asks it.
+// TestServersAreUsedAgainAfterTheyLeft guards against a server that stays excluded because no
+// request is sent that could show that it is back.
 func TestServersAreUsedAgainAfterTheyLeft(t *testing.T) {
 	c := qt.New(t)
 	all := testRegistries(2, 1)
 	all[0].ApplyAdvice("s-0", leavingAdvice, start, start)
 	all[1].MergeAdvice(all[0].Advice(start.Add(time.Second)), start.Add(time.Second))
-	back := start.Add(10 * time.Second)
-	c.Check(all[0].RecordRestart("s-0", back), qt.IsTrue)
-	c.Check(canAcquire(all[0], back), qt.IsTrue)
-	c.Check(all[1].MergeAdvice(all[0].Advice(back.Add(time.Millisecond)), back.Add(time.Millisecond)), qt.IsTrue)
-	c.Check(canAcquire(all[1], back.Add(time.Millisecond)), qt.IsTrue)
-
-	all[0].ApplyAdvice("s-0", leavingAdvice, back, back.Add(time.Second))
-	c.Check(canAcquire(all[0], back.Add(2*time.Second)), qt.IsFalse)
-	lapsed := back.Add(time.Second + leavingNoticeTTL)
-	c.Check(canAcquire(all[0], lapsed), qt.IsTrue)
-	c.Check(all[0].ApplyAdvice("s-0", leavingAdvice, lapsed, lapsed), qt.IsTrue)
-	c.Check(canAcquire(all[0], lapsed), qt.IsFalse)
+	restarted := start.Add(10 * time.Second)
+	c.Check(all[0].RecordRestart("s-0", restarted), qt.IsTrue)
+	c.Check(canAcquire(all[0], restarted), qt.IsTrue)
+	c.Check(all[1].MergeAdvice(all[0].Advice(restarted.Add(time.Millisecond)), restarted.Add(time.Millisecond)), qt.IsTrue)
+	c.Check(canAcquire(all[1], restarted.Add(time.Millisecond)), qt.IsTrue)
+
+	all[0].ApplyAdvice("s-0", leavingAdvice, restarted, restarted.Add(time.Second))
+	c.Check(canAcquire(all[0], restarted.Add(2*time.Second)), qt.IsFalse)
+	expired := restarted.Add(time.Second + leavingNoticeTTL)
+	c.Check(canAcquire(all[0], expired), qt.IsTrue)
+	c.Check(all[0].ApplyAdvice("s-0", leavingAdvice, expired, expired), qt.IsTrue)
+	c.Check(canAcquire(all[0], expired), qt.IsFalse)
 }
--- a/internal/discovery/limits.go
+++ b/internal/discovery/limits.go
@@ -10,48 +10,52 @@
 )
 
 const (
-	// burstTime is the time over which a part that is not used is kept, one request at the least.
+	// burstTime is the time over which unused quota accumulates. The bucket always holds at least
+	// one request.
 	burstTime = 250 * time.Millisecond
-	// minServerRate is in requests a second. A server that takes fewer, or none, gets as many, so
-	// that it is found out when it takes more.
+	// minServerRate, in requests per second, is the least rate at which requests are sent to a
+	// server, even if its limit is lower or zero. Without such requests, a raised limit would go
+	// unnoticed.
 	minServerRate = 0.25
-	// liftedReportTTL is how long a limit that has ended is reported: daemons that missed the answer
-	// would keep it otherwise.
+	// liftedReportTTL is how long a lifted limit is still reported. Daemons that missed the
+	// response would otherwise keep the limit.
 	liftedReportTTL = 30 * time.Second
-	// minRefreshInterval is how much later an equal limit has to have been seen to replace a known one.
+	// minRefreshInterval is how much newer an observation of an equal limit must be to replace the
+	// known one.
 	minRefreshInterval = time.Second
 )
 
-// AdviceRecord is a server's advice as daemons report it to each other.
+// AdviceRecord is a server's advice as exchanged between daemons.
 type AdviceRecord struct {
 	Server            string  `json:"server"`
 	Limited           bool    `json:"named"`
 	RequestsPerSecond float64 `json:"requests_per_second"`
-	// AgeMs is how long ago that was learned, in milliseconds.
+	// AgeMs is the age of the limit's observation, in milliseconds.
 	AgeMs int64 `json:"age_ms"`
-	// Leaving is whether the server has announced that it leaves, LeavingAgeMs the age of that state in
-	// milliseconds; zero is unknown.
+	// Leaving is whether the server has announced that it leaves. LeavingAgeMs is the age of that
+	// state in milliseconds, or zero if the state is unknown.
 	Leaving      bool  `json:"leaving,omitempty"`
 	LeavingAgeMs int64 `json:"leaving_age_ms,omitempty"`
-	// Demands are what daemons' callers ask of the server's service. One record of a service has them.
+	// Demands are the daemons' demands for the server's service. Only one record of each service
+	// has them.
 	Demands []DemandRecord `json:"demands,omitempty"`
 }
 
-// quota is this daemon's part of a server's limit, as a bucket of requests.
+// quota is this daemon's share of a server's limit, as a token bucket of requests.
 type quota struct {
-	// rate is in requests a second; zero for a daemon that does not send there.
+	// rate is in requests per second. It is zero for a daemon that has no share of the limit.
 	rate       float64
 	level      float64
 	refilledAt time.Time
 }
 
-// refill lets the bucket fill until now.
+// refill adds the requests that have accumulated since the last refill.
 func (q *quota) refill(now time.Time) {
 	q.level = min(max(1, q.rate*burstTime.Seconds()), q.level+q.rate*now.Sub(q.refilledAt).Seconds())
 	q.refilledAt = now
 }
 
-// wait returns how long it takes until a request may be sent.
+// wait returns the time until a request may be sent.
 func (q *quota) wait(now time.Time) time.Duration {
 	q.refill(now)
 	switch {
@@ -63,15 +67,16 @@
 	return min(maxQuotaWait, time.Duration((1-q.level)/q.rate*float64(time.Second)))
 }
 
-// maxQuotaWait bounds the advice where this daemon's part is small: parts change with what callers
-// ask for.
+// maxQuotaWait limits the wait that is returned for a small quota, because quotas change with
+// demand.
 const maxQuotaWait = 4 * time.Second
 
-// noQuotaRetryAfter is the advice where this daemon has no part of a server's limit: another daemon may.
+// noQuotaRetryAfter is the wait that is returned if this daemon has no share of a server's limit:
+// another daemon may have one.
 const noQuotaRetryAfter = time.Second
 
-// ApplyAdvice merges the advice in the response to a request that was sent and answered at these times. It
-// reports whether other daemons should be informed at once.
+// ApplyAdvice applies the advice in the response to a request with the given times of sending and
+// response. It reports whether other daemons should be notified immediately.
 func (r *Registry) ApplyAdvice(id string, a advice.Advice, sent, answered time.Time) (changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,7 +92,7 @@
 	return r.recordLeavingAnnouncement(s, a, answered) || limited
 }
 
-// setLimit applies a server's limit; the caller holds the lock.
+// setLimit applies a server's limit. The caller must hold the lock.
 func (r *Registry) setLimit(s *server, limit advice.Limit, now time.Time) (changed bool) {
 	before := s.limit
 	s.limit = limit
@@ -106,14 +111,14 @@
 	return true
 }
 
-// initialLevel returns how full a daemon's bucket is at first: differently at each daemon, so that they
-// do not all send at once when theirs are full.
+// initialLevel returns the initial fill level of a daemon's bucket. The level differs by daemon, so
+// that the buckets do not all become full at the same time and cause a burst of requests.
 func initialLevel(server, daemon string) float64 {
 	return float64(xxhash.Sum64String(server+"/"+daemon)) / math.MaxUint64
 }
 
-// admissionWait returns how long it takes until this daemon may send a request to a server, which
-// rests or is at its limit; the caller holds the lock.
+// admissionWait returns the time until this daemon may send a request to a server that is in
+// backoff or at its limit. The caller must hold the lock.
 func (s *server) admissionWait(now time.Time) time.Duration {
 	rest := max(0, s.backoffUntil.Sub(now))
 	if !s.limit.Limited {
@@ -122,7 +127,8 @@
 	return max(rest, s.quota.wait(now))
 }
 
-// admit counts a request to a server; the caller holds the lock.
+// admit takes one request from the server's quota and reports whether the request may be sent. The
+// caller must hold the lock.
 func (s *server) admit(now time.Time) bool {
 	if s.admissionWait(now) > 0 {
 		return false
@@ -133,8 +139,8 @@
 	return true
 }
 
-// RetryAfter returns how long it takes until one of a service's servers may be asked, and false where
-// none is there.
+// RetryAfter returns the time until one of the service's servers may receive a request, and false
+// if no server accepts requests.
 func (r *Registry) RetryAfter(service string, now time.Time) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,14 +150,14 @@
 		if s.vm.Service != service || !s.acceptsRequests(now) {
 			continue
 		}
-		if until := s.admissionWait(now); !found || until < wait {
-			wait, found = until, true
+		if serverWait := s.admissionWait(now); !found || serverWait < wait {
+			wait, found = serverWait, true
 		}
 	}
 	return wait, found
 }
 
-// Advice returns the servers' advice to report to other daemons.
+// Advice returns the advice of all servers, to be reported to other daemons.
 func (r *Registry) Advice(now time.Time) []AdviceRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -174,7 +180,8 @@
 	return records
 }
 
-// MergeAdvice merges another daemon's report. It reports whether others should be informed at once.
+// MergeAdvice merges advice reported by another daemon. It reports whether other daemons should be
+// notified immediately.
 func (r *Registry) MergeAdvice(records []AdviceRecord, now time.Time) (changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -192,7 +199,7 @@
 	return changed
 }
 
-// mergeLimit merges the limit of a record; the caller holds the lock.
+// mergeLimit merges the limit of a record. The caller must hold the lock.
 func (r *Registry) mergeLimit(s *server, record AdviceRecord, now time.Time) (changed bool) {
 	if !advice.ValidNumber(record.RequestsPerSecond) {
 		return false
@@ -204,11 +211,11 @@
 	return r.setLimit(s, s.limit.Merge(limit), now)
 }
 
-// mergeLeaving merges the leaving state of a record; the caller holds the lock.
+// mergeLeaving merges the leaving state of a record. The caller must hold the lock.
 func (r *Registry) mergeLeaving(s *server, record AdviceRecord, now time.Time) (changed bool) {
-	told := ageFromMs(record.LeavingAgeMs)
-	return told > 0 && told < leavingNoticeTTL && r.setLeaving(s, leavingState{announced: record.Leaving, at: now.Add(-told)})
+	age := ageFromMs(record.LeavingAgeMs)
+	return age > 0 && age < leavingNoticeTTL && r.setLeaving(s, leavingState{announced: record.Leaving, at: now.Add(-age)})
 }
 
-// ageFromMs returns an age that was reported in milliseconds.
+// ageFromMs converts a reported age in milliseconds. Negative ages become zero.
 func ageFromMs(ms int64) time.Duration { return max(0, time.Duration(ms)*time.Millisecond) }
--- a/internal/discovery/limits_test.go
+++ b/internal/discovery/limits_test.go
@@ -14,7 +14,8 @@
 
 var start = time.Unix(1000, 0)
 
-// testRegistries returns the registries of some daemons in zones of a number, with one server in each.
+// testRegistries returns the registries of daemons that are spread over the zones, with one server
+// in each zone.
 func testRegistries(daemons, zones int) []*Registry {
 	var vms []vmlist.VM
 	for z := range zones {
@@ -34,8 +35,8 @@
 
 func adviceWithLimit(rate float64) advice.Advice { return advice.Advice{Limit: &rate} }
 
-// TestDaemonsShareALimit guards against parts that add up to more than the limit, and against parts
-// so small that nobody sends.
+// TestDaemonsShareALimit guards against quotas that add up to more than the limit, and against
+// quotas so small that no daemon sends requests.
 func TestDaemonsShareALimit(t *testing.T) {
 	for _, daemons := range []int{1, 8, 60, 300} {
 		for _, rate := range []float64{0, 0.5, 1.2, 4, 20, 500} {
@@ -49,10 +50,10 @@
 				for tick := range 800 {
 					now := start.Add(time.Duration(tick) * 10 * time.Millisecond)
 					for _, r := range all {
-						got := acquireAll(r, now)
-						total += got
+						count := acquireAll(r, now)
+						total += count
 						if tick >= 400 {
-							sent += got
+							sent += count
 						}
 					}
 				}
@@ -63,7 +64,7 @@
 	}
 }
 
-// exchangeAdvice lets each daemon report to a few others, as heartbeats do.
+// exchangeAdvice has each daemon report to a few others, as heartbeats do.
 func exchangeAdvice(all []*Registry, now time.Time) {
 	for i, r := range all {
 		records := r.Advice(now)
@@ -75,23 +76,25 @@
 	}
 }
 
-// scenarioLength is how long callers ask; they move in the middle.
+// scenarioLength is the length of a traffic scenario. The traffic changes halfway.
 const scenarioLength = 24 * time.Second
 
-// trafficScenario are the requests a second that callers send to daemons, by number, before and after a change.
+// trafficScenario holds the requests per second that callers send to each daemon, by the daemon's
+// index, before and after a change.
 type trafficScenario struct{ before, after map[int]int }
 
-// run lets callers ask and returns when requests were sent to the limited server.
-func (p trafficScenario) run(all []*Registry) (sent []time.Duration) {
+// run simulates the scenario and returns the times at which requests were sent to the limited
+// server.
+func (s trafficScenario) run(all []*Registry) (sent []time.Duration) {
 	const tick, heartbeat = 10 * time.Millisecond, time.Second
 	for at := time.Duration(0); at < scenarioLength; at += tick {
 		now := start.Add(at)
-		asked := p.before
+		rates := s.before
 		if at >= scenarioLength/2 {
-			asked = p.after
+			rates = s.after
 		}
-		for i, each := range asked {
-			if at%(time.Second/time.Duration(each)) != 0 {
+		for i, rate := range rates {
+			if at%(time.Second/time.Duration(rate)) != 0 {
 				continue
 			}
 			all[i].Candidates("s", 0, now)
@@ -106,50 +109,50 @@
 	return sent
 }
 
-// TestServersAtTheirLimitsAreUsedByWhoeverHasCallers guards against parts of a limit that lie idle at
-// daemons without callers, and against parts that add up to more than the limit when callers move.
+// TestServersAtTheirLimitsAreUsedByWhoeverHasCallers guards against quota that stays unused at
+// daemons without callers, and against quotas that add up to more than the limit when callers move.
 func TestServersAtTheirLimitsAreUsedByWhoeverHasCallers(t *testing.T) {
-	// The server is in the zone of daemons 0, 3 and so on.
-	plays := map[string]trafficScenario{
+	// The server is in the zone of daemons 0, 3, 6 and so on.
+	scenarios := map[string]trafficScenario{
 		"one daemon":                 {map[int]int{0: 20}, map[int]int{0: 20}},
 		"one of another zone":        {map[int]int{1: 20}, map[int]int{1: 20}},
 		"many at one, few at others": {map[int]int{0: 1, 1: 2, 3: 1, 4: 20}, map[int]int{0: 1, 1: 2, 3: 1, 4: 20}},
 		"callers move":               {map[int]int{0: 20}, map[int]int{7: 20}},
 		"callers spread":             {map[int]int{2: 20}, map[int]int{0: 5, 1: 5, 3: 5, 5: 5}}}
-	for name, p := range plays {
+	for name, s := range scenarios {
 		for _, daemons := range []int{8, 60} {
 			for _, rate := range []float64{1.2, 4} {
-				t.Run(fmt.Sprintf("%s of %d, %v a second", name, daemons, rate), func(t *testing.T) { p.check(t, daemons, rate) })
+				t.Run(fmt.Sprintf("%s of %d, %v a second", name, daemons, rate), func(t *testing.T) { s.check(t, daemons, rate) })
 			}
 		}
 	}
-	t.Run("one daemon of 300", func(t *testing.T) { plays["one daemon"].check(t, 300, 1.2) })
-	t.Run("callers move between 300", func(t *testing.T) { plays["callers move"].check(t, 300, 4) })
+	t.Run("one daemon of 300", func(t *testing.T) { scenarios["one daemon"].check(t, 300, 1.2) })
+	t.Run("callers move between 300", func(t *testing.T) { scenarios["callers move"].check(t, 300, 4) })
 }
 
-// check plays at some daemons and a server that names a limit. Daemons have one window to learn of
-// callers that move.
-func (p trafficScenario) check(t *testing.T, daemons int, rate float64) {
+// check runs the scenario with a number of daemons and a server that has a limit. Daemons have one
+// window to adapt to callers that move.
+func (s trafficScenario) check(t *testing.T, daemons int, rate float64) {
 	const window = 4 * time.Second
 	c := qt.New(t)
 	all := testRegistries(daemons, 3)
 	all[0].ApplyAdvice("s-0", adviceWithLimit(rate), start, start)
-	sent := p.run(all)
+	sent := s.run(all)
 	for from := window; from < scenarioLength; from += window {
-		got := 0
+		count := 0
 		for _, at := range sent {
 			if at >= from && at < from+window {
-				got++
+				count++
 			}
 		}
-		c.Check(float64(got) <= rate*4*1.5+5, qt.IsTrue, qt.Commentf("%d in 4 s from %v", got, from))
+		c.Check(float64(count) <= rate*4*1.5+5, qt.IsTrue, qt.Commentf("%d in 4 s from %v", count, from))
 		if from != scenarioLength/2 {
-			c.Check(float64(got) >= rate*4*0.5, qt.IsTrue, qt.Commentf("%d in 4 s from %v", got, from))
+			c.Check(float64(count) >= rate*4*0.5, qt.IsTrue, qt.Commentf("%d in 4 s from %v", count, from))
 		}
 	}
 }
 
-// acquireAll sends as many requests to a server as a daemon may.
+// acquireAll sends as many requests to the server as the daemon's quota allows.
 func acquireAll(r *Registry, now time.Time) (sent int) {
 	for {
 		slot, ok := r.Acquire("s-0", 0, now)
@@ -212,8 +215,8 @@
 	c.Check(all[0].MergeAdvice([]AdviceRecord{{Server: "s-0", Limited: true, RequestsPerSecond: -1}, {Server: "unknown", Limited: true}}, later), qt.IsFalse)
 }
 
-// TestServersAreUsedAgainAfterBackoff guards against requests within the rest that a server has
-// asked this daemon for, and against other daemons that keep it.
+// TestServersAreUsedAgainAfterBackoff guards against requests within the backoff period that a
+// server requested from this daemon, and against other daemons that apply the same backoff.
 func TestServersAreUsedAgainAfterBackoff(t *testing.T) {
 	c := qt.New(t)
 	all := testRegistries(2, 1)
--- a/internal/discovery/sharing.go
+++ b/internal/discovery/sharing.go
@@ -9,20 +9,21 @@
 )
 
 const (
-	// minSenders is the least number of daemons that share a server's limit, and sendersPerRequestRate how many
-	// more for each request a second. Each may send one request at once beside its part.
+	// minSenders is the least number of daemons that share a server's limit. sendersPerRequestRate
+	// is how many more share it for each request per second of the limit. Each daemon may send one
+	// request at once beyond its quota.
 	minSenders            = 2
 	sendersPerRequestRate = 2
 )
 
-// sender is a daemon that may have a part of a server's limit, with what its callers ask for, in
-// requests a second.
+// sender is a daemon that may get a share of a server's limit, with the demand of its callers in
+// requests per second.
 type sender struct {
 	vm     vmlist.VM
 	demand float64
 }
 
-// totalDemand returns what the callers of some daemons ask for together, in requests a second.
+// totalDemand returns the sum of the senders' demands, in requests per second.
 func totalDemand(senders []sender) float64 {
 	sum := 0.0
 	for _, s := range senders {
@@ -31,8 +32,8 @@
 	return sum
 }
 
-// updateQuotas recomputes this daemon's parts when the daemons, or what their callers ask for, change;
-// the caller holds the lock.
+// updateQuotas recomputes this daemon's quotas after a change of the daemons or of their demands.
+// The caller must hold the lock.
 func (r *Registry) updateQuotas(now time.Time) {
 	for _, s := range r.servers {
 		if s.limit.Limited {
@@ -41,9 +42,10 @@
 	}
 }
 
-// updateQuota sets this daemon's part of a server's limit; the caller holds the lock. Few daemons share
-// it, the same at every daemon: of equal parts for all, many daemons would wait for minutes to send
-// their first request. Their parts are as large as what their callers ask for, so that none lies idle.
+// updateQuota sets this daemon's quota of a server's limit. Only a few daemons share a limit, and
+// every daemon selects the same ones: with equal shares for all, many daemons would wait for
+// minutes to send their first request. Quotas are proportional to demand, so that none stays
+// unused. The caller must hold the lock.
 func (r *Registry) updateQuota(s *server, now time.Time) {
 	s.quota.refill(now)
 	s.quota.rate = 0
@@ -52,38 +54,39 @@
 		s.quota.rate = max(minServerRate, s.limit.Rate)
 		return
 	}
-	for _, one := range senders {
-		if one.vm.ID == r.self {
-			s.quota.rate = max(minServerRate, s.limit.Rate) * one.demand / totalDemand(senders)
+	for _, candidate := range senders {
+		if candidate.vm.ID == r.self {
+			s.quota.rate = max(minServerRate, s.limit.Rate) * candidate.demand / totalDemand(senders)
 		}
 	}
 }
 
-// sendersOf returns the daemons that share a server's limit: those of its availability zone, where
-// their callers ask for as much as it takes, or of all.
+// sendersOf returns the daemons that share a server's limit: those of the server's availability
+// zone if their demand reaches the limit, otherwise those of all zones. The caller must hold the
+// lock.
 func (r *Registry) sendersOf(s *server) []sender {
 	var all []sender
 	for _, daemon := range r.topDaemons(s.vm.Service) {
 		all = append(all, sender{vm: r.daemons[daemon], demand: r.demands[s.vm.Service][daemon].requestsPerSecond})
 	}
-	near := slices.DeleteFunc(slices.Clone(all), func(d sender) bool { return d.vm.Zone != s.vm.Zone })
+	local := slices.DeleteFunc(slices.Clone(all), func(d sender) bool { return d.vm.Zone != s.vm.Zone })
 	switch {
 	case len(all) == 0:
 		return selectSenders(s, equalSenders(r.daemonsNear(s.vm.Zone)))
-	case totalDemand(near) < s.limit.Rate:
+	case totalDemand(local) < s.limit.Rate:
 		return selectSenders(s, all)
 	}
-	return selectSenders(s, near)
+	return selectSenders(s, local)
 }
 
-// selectSenders returns the first of some daemons by rendezvous hashing, as many as share the server's
-// limit, and more where their callers ask for less than it.
+// selectSenders returns the daemons of a pool that rank first by rendezvous hashing. It returns as
+// many as share the server's limit, and more if their demand is below the limit.
 func selectSenders(s *server, pool []sender) []sender {
 	byID := map[string]sender{}
 	var vms []vmlist.VM
-	for _, one := range pool {
-		byID[one.vm.ID] = one
-		vms = append(vms, one.vm)
+	for _, candidate := range pool {
+		byID[candidate.vm.ID] = candidate
+		vms = append(vms, candidate.vm)
 	}
 	wanted := minSenders + int(math.Min(float64(len(pool)), sendersPerRequestRate*s.limit.Rate))
 	var senders []sender
@@ -96,7 +99,7 @@
 	return senders
 }
 
-// equalSenders returns daemons of whose callers nothing is known, with equal parts.
+// equalSenders returns senders with equal shares, for daemons whose demand is unknown.
 func equalSenders(daemons []vmlist.VM) []sender {
 	var equal []sender
 	for _, vm := range daemons {
@@ -105,8 +108,8 @@
 	return equal
 }
 
-// daemonsNear returns the live daemons of an availability zone, whose requests go to its servers first, or
-// all if it has none. The caller holds the lock.
+// daemonsNear returns the live daemons of an availability zone, which send to its servers first, or
+// all live daemons if the zone has none. The caller must hold the lock.
 func (r *Registry) daemonsNear(zone string) []vmlist.VM {
 	var near, live []vmlist.VM
 	for _, daemon := range r.daemons {
--- a/internal/discovery/slot.go
+++ b/internal/discovery/slot.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Slot is the place of one attempt on a backend server, from dispatch to end.
+// Slot represents one attempt on a backend server, from dispatch to completion.
 type Slot struct {
 	registry       *Registry
 	server         *server
@@ -13,12 +13,12 @@
 	startedAt      time.Time
 	firstTokenOnce sync.Once
 	releaseOnce    sync.Once
-	// Evacuate is closed when the attempt has to leave the server.
+	// Evacuate is closed when the attempt must move to another server.
 	Evacuate <-chan struct{}
 }
 
-// Acquire counts an attempt in on a server that is live. It returns false when
-// the server has begun to leave, is gone, or is at the limit that it names.
+// Acquire registers an attempt on a live server. It returns false if the server is leaving, is
+// gone, is in backoff or is at its request limit.
 func (r *Registry) Acquire(id string, promptTokens int, now time.Time) (*Slot, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -31,41 +31,42 @@
 	return &Slot{registry: r, server: s, promptTokens: promptTokens, startedAt: now, Evacuate: s.evacuate}, true
 }
 
-// FirstToken tells that the first part of the answer has come, and how long it
-// was predicted to take.
-func (l *Slot) FirstToken(predicted time.Duration, now time.Time) {
-	l.firstTokenOnce.Do(func() {
-		l.registry.mu.Lock()
-		defer l.registry.mu.Unlock()
-		s := l.server
-		s.pendingPromptTokens -= l.promptTokens
-		late := max(0, now.Sub(l.startedAt)-predicted)
+// FirstToken records that the first part of the response has arrived. predicted is how long this
+// was expected to take.
+func (slot *Slot) FirstToken(predicted time.Duration, now time.Time) {
+	slot.firstTokenOnce.Do(func() {
+		slot.registry.mu.Lock()
+		defer slot.registry.mu.Unlock()
+		s := slot.server
+		s.pendingPromptTokens -= slot.promptTokens
+		late := max(0, now.Sub(slot.startedAt)-predicted)
 		s.excessDelay = (s.decayedExcessDelay(now) + late) / 2
 		s.excessDelayAt = now
 		s.consecutiveFailures = 0
 	})
 }
 
-// Release counts the attempt out.
-func (l *Slot) Release(failed bool, now time.Time) {
-	l.releaseOnce.Do(func() {
-		l.firstTokenOnce.Do(func() {
-			l.registry.mu.Lock()
-			defer l.registry.mu.Unlock()
-			l.server.pendingPromptTokens -= l.promptTokens
+// Release ends the attempt. It records a failure, or the service time if the attempt succeeded.
+func (slot *Slot) Release(failed bool, now time.Time) {
+	slot.releaseOnce.Do(func() {
+		slot.firstTokenOnce.Do(func() {
+			slot.registry.mu.Lock()
+			defer slot.registry.mu.Unlock()
+			slot.server.pendingPromptTokens -= slot.promptTokens
 		})
-		l.registry.mu.Lock()
-		defer l.registry.mu.Unlock()
-		l.server.running--
+		slot.registry.mu.Lock()
+		defer slot.registry.mu.Unlock()
+		slot.server.running--
 		if failed {
-			l.server.recordFailure(now)
+			slot.server.recordFailure(now)
 			return
 		}
-		l.server.observeServiceTime(now.Sub(l.startedAt))
+		slot.server.observeServiceTime(now.Sub(slot.startedAt))
 	})
 }
 
-// recordFailure keeps new work away for a time that doubles with each failure.
+// recordFailure makes the server a suspect, to be avoided for a time that doubles with each
+// consecutive failure.
 func (s *server) recordFailure(now time.Time) {
 	avoid := min(maxSuspectTime, initialSuspectTime<<min(s.consecutiveFailures, 5))
 	s.consecutiveFailures++
