--- a/internal/request/lifecycle.go
+++ b/internal/request/lifecycle.go
@@ -10,10 +10,9 @@
 
 // The states. Answered, Failed, Unknown, Cancelled and HandedOver are final.
 const (
-	// StateAccepted means that admission has said yes and that no attempt is
-	// on its way.
+	// StateAccepted means that the request was admitted and no attempt is in flight.
 	StateAccepted State = "accepted"
-	// StateDispatched means that an attempt is on its way or running.
+	// StateDispatched means that an attempt is being sent or is running.
 	StateDispatched State = "dispatched"
 	// StateStreaming means that a part of the answer has arrived.
 	StateStreaming State = "streaming"
@@ -21,11 +20,11 @@
 	StateFailed    State = "failed"
 	StateUnknown   State = "unknown"
 	StateCancelled State = "cancelled"
-	// StateHandedOver means that another daemon owns the request now.
+	// StateHandedOver means that another daemon now owns the request.
 	StateHandedOver State = "handed-over"
 )
 
-// Final reports whether a state has no successor.
+// Final reports whether the state has no successor.
 func (s State) Final() bool {
 	switch s {
 	case StateAnswered, StateFailed, StateUnknown, StateCancelled, StateHandedOver:
@@ -36,15 +35,15 @@
 
 // Errors of the state machine.
 var (
-	// ErrMayHaveRun means that a non-idempotent request must not be sent
-	// again, because an earlier attempt may have run.
+	// ErrMayHaveRun means that a non-idempotent request must not be sent again, because an earlier
+	// attempt may have run.
 	ErrMayHaveRun = errors.New("an earlier attempt may have run")
-	// ErrInvariant means that the program asked for a step that the state
-	// machine does not have.
+	// ErrInvariant means that a step is not valid in the current state. It indicates a programming
+	// error.
 	ErrInvariant = errors.New("request invariant violated")
 )
 
-// Step is something that happens to a request.
+// Step is an event in the lifecycle of a request.
 type Step string
 
 // The steps.
@@ -52,46 +51,48 @@
 	StepDispatch Step = "dispatch"
 	// StepNotSent: the attempt has provably not reached a backend server.
 	StepNotSent Step = "not-sent"
-	// StepDeclined: the backend server has said that it did not run it.
+	// StepDeclined: the backend server reported that it did not run the request.
 	StepDeclined Step = "declined"
-	// StepLost: the attempt may have run; its answer will not come.
+	// StepLost: the attempt may have run, but its answer is lost.
 	StepLost   Step = "lost"
 	StepToken  Step = "token"
 	StepAnswer Step = "answer"
 	StepGiveUp Step = "give-up"
 	StepCancel Step = "cancel"
-	// StepHandOver gives the right to dispatch to another daemon.
+	// StepHandOver transfers the right to dispatch to another daemon.
 	StepHandOver Step = "hand-over"
 )
 
-// Lifecycle is the state machine of one accepted request.
+// Lifecycle is the state machine of one accepted request. It is not safe for concurrent use.
 type Lifecycle struct {
 	idempotent bool
 	state      State
 	attempts   int
-	// mayHaveRun is true once an attempt may have reached a backend server.
+	// mayHaveRun is true if an attempt may have reached a backend server.
 	mayHaveRun bool
 	history    []Step
 }
 
-// maxHistory bounds the recorded steps; tokens are recorded once.
+// maxHistory limits the recorded steps. Consecutive token steps are recorded once, and StepLost is
+// recorded even beyond the limit.
 const maxHistory = 64
 
-// NewLifecycle returns the life of a request that has just been accepted.
+// NewLifecycle returns the lifecycle of a request that has just been accepted.
 func NewLifecycle(idempotent bool) *Lifecycle {
 	return &Lifecycle{idempotent: idempotent, state: StateAccepted}
 }
 
-// State returns the present state.
+// State returns the current state.
 func (l *Lifecycle) State() State { return l.state }
 
-// Attempts returns the number of attempts begun.
+// Attempts returns the number of attempts started.
 func (l *Lifecycle) Attempts() int { return l.attempts }
 
-// History returns the steps so far.
+// History returns the recorded steps.
 func (l *Lifecycle) History() []Step { return l.history }
 
-// MayDispatch returns nil when another attempt may begin.
+// MayDispatch returns nil if another attempt may be started. Otherwise it returns ErrMayHaveRun or
+// an error that wraps ErrInvariant.
 func (l *Lifecycle) MayDispatch() error {
 	if l.state != StateAccepted {
 		return l.invariantError(StepDispatch)
@@ -102,9 +103,9 @@
 	return nil
 }
 
-// Apply takes a step. It returns ErrMayHaveRun for a dispatch that must not
-// be, and ErrInvariant for a step that the present state does not have. A
-// step that returns an error changes nothing.
+// Apply performs a step. It returns ErrMayHaveRun if a dispatch or hand-over is not allowed because
+// an earlier attempt may have run, and an error that wraps ErrInvariant if the step is not valid in
+// the current state. The state does not change if an error is returned.
 func (l *Lifecycle) Apply(step Step) error {
 	next, err := l.nextState(step)
 	if err != nil {
@@ -122,8 +123,8 @@
 	return nil
 }
 
-// earlierAttemptLost reports whether an attempt before the present one may have
-// run. Every such attempt ended in StepLost.
+// earlierAttemptLost reports whether an attempt before the current one may have run. Every such
+// attempt ended in StepLost.
 func (l *Lifecycle) earlierAttemptLost() bool {
 	for _, step := range l.history {
 		if step == StepLost {
@@ -166,7 +167,7 @@
 	return l.state, l.invariantError(step)
 }
 
-// stateAfterGiveUp is the final state when no further attempt will be made.
+// stateAfterGiveUp returns the final state when no further attempt is made.
 func (l *Lifecycle) stateAfterGiveUp() State {
 	if l.mayHaveRun && !l.idempotent {
 		return StateUnknown
@@ -178,7 +179,7 @@
 	return fmt.Errorf("%w: step %s in state %s after %v", ErrInvariant, step, l.state, l.history)
 }
 
-// Outcome returns what the caller may be told in the present state.
+// Outcome returns the outcome that may be reported to the caller in the current state.
 func (l *Lifecycle) Outcome() Outcome {
 	switch {
 	case l.state == StateAnswered:
--- a/internal/request/lifecycle_test.go
+++ b/internal/request/lifecycle_test.go
@@ -12,20 +12,21 @@
 
 var allSteps = []Step{StepDispatch, StepNotSent, StepDeclined, StepLost, StepToken, StepAnswer, StepGiveUp, StepCancel, StepHandOver}
 
-// TestLifeKeepsPromises drives the state machine by random steps and compares
-// it with the plain meaning of the promises.
+// TestLifeKeepsPromises applies random steps and compares the state machine with a direct model of
+// its guarantees. It guards against repeated runs of non-idempotent requests and against outcomes
+// that the attempts do not prove.
 func TestLifeKeepsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		idempotent := rapid.Bool().Draw(t, "idempotent")
-		life := NewLifecycle(idempotent)
+		lifecycle := NewLifecycle(idempotent)
 		reached := 0 // attempts that may have reached a backend server
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			step := rapid.SampledFrom(allSteps).Draw(t, "step")
-			before := life.State()
-			err := life.Apply(step)
+			before := lifecycle.State()
+			err := lifecycle.Apply(step)
 			if err != nil {
-				if life.State() != before {
-					t.Fatalf("refused step %s changed %s to %s", step, before, life.State())
+				if lifecycle.State() != before {
+					t.Fatalf("invalid step %s changed %s to %s", step, before, lifecycle.State())
 				}
 				continue
 			}
@@ -45,11 +46,11 @@
 					t.Fatal("non-idempotent request handed over after an attempt that may have run")
 				}
 			}
-			if life.Outcome() == OutcomeNotRun && reached > 0 {
-				t.Fatalf("told not-run after %v", life.History())
+			if lifecycle.Outcome() == OutcomeNotRun && reached > 0 {
+				t.Fatalf("outcome not-run although an attempt may have run: %v", lifecycle.History())
 			}
-			if life.State() == StateFailed && !idempotent && reached > 0 {
-				t.Fatalf("told failed though it may have run: %v", life.History())
+			if lifecycle.State() == StateFailed && !idempotent && reached > 0 {
+				t.Fatalf("state failed although an attempt may have run: %v", lifecycle.History())
 			}
 		}
 	})
@@ -57,12 +58,12 @@
 
 func TestNonIdempotentIsNotSentAgain(t *testing.T) {
 	c := qt.New(t)
-	life := NewLifecycle(false)
+	lifecycle := NewLifecycle(false)
 	for _, step := range []Step{StepDispatch, StepNotSent, StepDispatch, StepLost} {
-		c.Assert(life.Apply(step), qt.IsNil)
+		c.Assert(lifecycle.Apply(step), qt.IsNil)
 	}
-	c.Check(errors.Is(life.Apply(StepDispatch), ErrMayHaveRun), qt.IsTrue)
-	c.Assert(life.Apply(StepGiveUp), qt.IsNil)
-	c.Check(life.Outcome(), qt.Equals, OutcomeUnknown)
-	c.Check(errors.Is(life.Apply(StepAnswer), ErrInvariant), qt.IsTrue)
+	c.Check(errors.Is(lifecycle.Apply(StepDispatch), ErrMayHaveRun), qt.IsTrue)
+	c.Assert(lifecycle.Apply(StepGiveUp), qt.IsNil)
+	c.Check(lifecycle.Outcome(), qt.Equals, OutcomeUnknown)
+	c.Check(errors.Is(lifecycle.Apply(StepAnswer), ErrInvariant), qt.IsTrue)
 }
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,6 +1,6 @@
-// Package request is the life of one request as an explicit state machine,
-// without I/O and without a clock. It decides what may be sent again and what
-// the caller may be told; docs/design/acceptance.md defines the words.
+// Package request defines requests and the state machine of a request's lifecycle, without I/O and
+// without a clock. It decides what may be sent again and which outcome may be reported to the
+// caller; docs/design/acceptance.md defines the terms.
 package request
 
 import (
@@ -16,18 +16,18 @@
 	"github.com/plankridge/plankridge/internal/config"
 )
 
-// ID identifies a request. It begins with the tag of the daemon that accepted
-// it, so that every daemon can find the owner.
+// ID identifies a request. It begins with the tag of the daemon that accepted the request, so that
+// every daemon can find the owner.
 type ID string
 
 const idSeparator = "-"
 
-// DaemonTag returns the part of an ID that names the accepting daemon.
+// DaemonTag returns the part of an ID that identifies the accepting daemon.
 func DaemonTag(daemonID string) string {
 	return fmt.Sprintf("%016x", xxhash.Sum64String(daemonID))
 }
 
-// NewID makes an ID from the accepting daemon's ID and random bytes.
+// NewID returns an ID made from the accepting daemon's ID and random bytes.
 func NewID(daemonID string, random [16]byte) ID {
 	return ID(DaemonTag(daemonID) + idSeparator + hex.EncodeToString(random[:]))
 }
@@ -38,7 +38,7 @@
 	return tag
 }
 
-// Kind is the form of a request and of its answer.
+// Kind is the type of a request and of its answer.
 type Kind string
 
 // The kinds of request.
@@ -48,7 +48,7 @@
 	KindPlain      Kind = "plain"
 )
 
-// Spec is what the caller asked for. It does not change.
+// Spec is what the caller requested. It is immutable.
 type Spec struct {
 	ID        ID           `json:"id"`
 	Kind      Kind         `json:"kind"`
@@ -59,29 +59,29 @@
 	Stream    bool         `json:"stream"`
 	Async     bool         `json:"async"`
 	Accepted  time.Time    `json:"accepted"`
-	// Key is set for a request that carries an idempotency key.
+	// Key is set if the request has an idempotency key.
 	Key *Key `json:"key,omitempty"`
-	// Run and RunBase tell which run of the answer this is, and the number of
-	// tokens that all runs share.
+	// Run is the number of the answer's current run, and RunBase the number of tokens that all runs
+	// have in common.
 	Run     int `json:"run,omitempty"`
 	RunBase int `json:"run_base,omitempty"`
-	// ResumeGrace is how long the request runs on without a reader.
+	// ResumeGrace is how long the request continues to run without a reader.
 	ResumeGrace time.Duration `json:"resume_grace"`
 	Model       *ModelRequest `json:"model,omitempty"`
 	Plain       *PlainRequest `json:"plain,omitempty"`
 }
 
-// Position is a place in a streamed answer.
+// Position is a position in a streamed answer.
 type Position struct {
-	// Run counts the times that the answer was continued from a copy which
-	// may have lacked tokens that the caller had been sent.
+	// Run counts how often the answer was continued from a copy that may have lacked tokens already
+	// sent to the caller.
 	Run int
-	// Offset is the number of tokens before the place.
+	// Offset is the number of tokens before the position.
 	Offset int
 }
 
-// String writes the position as the ID of a server-sent event: "12" in the
-// first run, "12.1" in the second.
+// String formats the position as the ID of a server-sent event: "12" in the first run, "12.1" in
+// the second.
 func (p Position) String() string {
 	if p.Run == 0 {
 		return strconv.Itoa(p.Offset)
@@ -89,10 +89,10 @@
 	return strconv.Itoa(p.Offset) + "." + strconv.Itoa(p.Run)
 }
 
-// ParsePosition reads what String writes.
+// ParsePosition parses the format of Position.String.
 func ParsePosition(text string) (Position, error) {
-	offset, run, more := strings.Cut(text, ".")
-	if !more {
+	offset, run, found := strings.Cut(text, ".")
+	if !found {
 		run = "0"
 	}
 	var p Position
@@ -100,20 +100,20 @@
 	p.Offset, errs[0] = strconv.Atoi(offset)
 	p.Run, errs[1] = strconv.Atoi(run)
 	if errs[0] != nil || errs[1] != nil || p.Offset < 0 || p.Run < 0 {
-		return Position{}, fmt.Errorf("%q is not a position in an answer", text)
+		return Position{}, fmt.Errorf("invalid position %q in an answer", text)
 	}
 	return p, nil
 }
 
-// CanResumeFrom reports whether the answer goes on from a position. It does not
-// when the position lies in an earlier run, behind the tokens that the present
-// run began with: the tokens up to there may have been others.
+// CanResumeFrom reports whether the answer can be resumed from a position. It can't if the position
+// is in an earlier run and beyond the tokens that all runs have in common, because the tokens that
+// the caller received up to there may differ from those of the current run.
 func (s *Spec) CanResumeFrom(p Position) bool {
 	return p.Run == s.Run || (p.Run < s.Run && p.Offset <= s.RunBase)
 }
 
-// NextRun returns the specification for a run that continues a copy with that
-// many tokens.
+// NextRun returns the specification for a run that continues a copy with the given number of
+// tokens.
 func (s Spec) NextRun(tokens int) Spec {
 	if s.Run == 0 {
 		s.RunBase = tokens
@@ -126,38 +126,39 @@
 // Idempotent reports whether the request may run more than once.
 func (s *Spec) Idempotent() bool { return s.Kind != KindPlain || s.Route.Idempotent }
 
-// ModelRequest is the part of a spec that model engines need.
+// ModelRequest holds the fields of a request to a model engine.
 type ModelRequest struct {
-	// Name is the model as the caller named it.
+	// Name is the model name given by the caller.
 	Name       string            `json:"name"`
 	Adapter    string            `json:"adapter,omitempty"`
 	Prompt     string            `json:"prompt"`
 	MaxTokens  int               `json:"max_tokens"`
 	Parameters map[string][]byte `json:"parameters,omitempty"`
-	// IncludeUsage asks for token counts at the end of a stream.
+	// IncludeUsage requests token counts at the end of a stream.
 	IncludeUsage bool `json:"include_usage,omitempty"`
 }
 
-// KeyRef names an idempotency key without showing it.
+// KeyRef identifies an idempotency key without revealing it.
 type KeyRef struct {
-	// Zone and Slot are the key's home.
+	// Zone and Slot are the home of the key: the availability zone and the slot whose daemon
+	// records it.
 	Zone string `json:"zone"`
 	Slot int    `json:"slot"`
-	// Hash is the digest of the key with its scope: workspace, service and
-	// path.
+	// Hash is the digest of the key and its scope: workspace, service and path.
 	Hash string `json:"hash"`
-	// Fingerprint is the digest of what the request asks for.
+	// Fingerprint is the digest of the request's content. It detects a key that is used again for a
+	// different request.
 	Fingerprint string `json:"fingerprint"`
 }
 
 // Key is the idempotency key of a request.
 type Key struct {
 	KeyRef
-	// Turn counts the requests of the key.
+	// Turn is the sequence number of the request among the requests with this key.
 	Turn int `json:"turn,omitempty"`
 }
 
-// PlainRequest is the part of a spec that plain services need.
+// PlainRequest holds the fields of a request to a plain service.
 type PlainRequest struct {
 	Method string      `json:"method"`
 	Path   string      `json:"path"`
@@ -165,12 +166,12 @@
 	Body   []byte      `json:"body,omitempty"`
 }
 
-// Outcome tells a caller whether its request has run.
+// Outcome is what is known about whether a request has run.
 type Outcome string
 
 // The outcomes.
 const (
-	// OutcomeOK means that the whole answer is there.
+	// OutcomeOK means that the answer is complete.
 	OutcomeOK Outcome = "ok"
 	// OutcomeNotRun means that no attempt can have reached a backend server.
 	OutcomeNotRun Outcome = "not-run"
@@ -188,17 +189,17 @@
 	OutputTokens int    `json:"output_tokens"`
 }
 
-// PlainAnswer is the whole answer of a plain service.
+// PlainAnswer is the complete answer of a plain service.
 type PlainAnswer struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header,omitempty"`
 	Body   []byte      `json:"body,omitempty"`
 }
 
-// Failure says why there is no answer.
+// Failure describes why there is no answer.
 type Failure struct {
 	Outcome Outcome `json:"outcome"`
 	Detail  string  `json:"detail"`
-	// Status is the HTTP status for the caller.
+	// Status is the HTTP status returned to the caller.
 	Status int `json:"status"`
 }
--- a/internal/request/seed_test.go
+++ b/internal/request/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// Randomised tests take a fixed seed unless the command line gives another.
+// Property tests use a fixed seed unless the command line sets another.
 func init() { _ = flag.Set("rapid.seed", "1") }
