--- a/internal/catalog/admit.go
+++ b/internal/catalog/admit.go
@@ -2,27 +2,28 @@
 
 import "errors"
 
-// Reasons why a request is not admitted by the configuration in force.
+// Errors of Admit.
 var (
 	// ErrNoRoute means that no route matches the host and path.
 	ErrNoRoute = errors.New("no route")
-	// ErrUnknownKey means that nobody holds the key.
+	// ErrUnknownKey means that the key belongs to no workspace.
 	ErrUnknownKey = errors.New("key is not known")
 )
 
-// Admission is what the configuration says of a request.
+// Admission is the result of matching a request with the configuration.
 type Admission struct {
 	Route *Route
-	// Service is the one of the route's services that this request goes to.
+	// Service is the service selected from the route's splits.
 	Service string
-	// Workspace is empty on routes without a key.
+	// Workspace is empty for routes that need no key.
 	Workspace string
-	// Rank is the urgency; zero is the most urgent.
+	// Rank is the urgency of the request; zero is the most urgent.
 	Rank int
 }
 
-// Admit finds the route of a request, one of its services and the workspace
-// that holds its key. point is uniform in [0, 1) and picks the service.
+// Admit returns the route of a request, the service selected from its splits, and the workspace
+// that the key belongs to. point is uniform in [0, 1) and selects the service. Admit returns
+// ErrNoRoute or ErrUnknownKey if the request is not admitted.
 func (c *Catalog) Admit(host, path, key string, point float64) (Admission, error) {
 	route := c.Match(host, path)
 	if route == nil {
@@ -32,13 +33,13 @@
 	if !c.NeedsKey(route) {
 		return a, nil
 	}
-	holder := c.WorkspaceByKey(key)
-	if key == "" || holder == nil {
+	workspace := c.WorkspaceByKey(key)
+	if key == "" || workspace == nil {
 		return Admission{}, ErrUnknownKey
 	}
-	a.Workspace = holder.Name
-	if holder.Rank != nil {
-		a.Rank = *holder.Rank
+	a.Workspace = workspace.Name
+	if workspace.Rank != nil {
+		a.Rank = *workspace.Rank
 	}
 	return a, nil
 }
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog is the routing configuration that operators publish: routes,
-// services, workspaces and what a caller may send. Values are immutable once
-// built; a new version is a new Catalog.
+// Package catalog holds the routing configuration that operators publish: routes, services,
+// workspaces and limits for callers. A Catalog is immutable once built; a new version is a new
+// Catalog.
 package catalog
 
 import (
@@ -11,113 +11,115 @@
 	"time"
 )
 
-// Catalog is one version of the configuration with its lookup tables.
+// Catalog is one version of the configuration, with lookup tables.
 type Catalog struct {
-	// Version is the operator's version number. It only grows, in uneven steps.
+	// Version is the operator's version number. It increases, but not always by one.
 	Version int64
 	Routes  []Route
-	// Services by name.
+	// Services holds the services by name.
 	Services map[string]Service
 	Limits   CallerLimits
-	// Workspaces is empty when callers need no key.
+	// Workspaces is empty if callers need no key.
 	Workspaces []Workspace
-	// AppliedAt is when this daemon put the version in force.
+	// AppliedAt is when this daemon applied the version.
 	AppliedAt time.Time
-	// Raw is the encoded form that the catalog was decoded from, as daemons
-	// pass it on to each other.
+	// Raw is the encoded form that the catalog was decoded from. Daemons send it to each other
+	// unchanged.
 	Raw []byte
 
 	byHost map[string][]*Route
 	byKey  map[[sha256.Size]byte]*Workspace
 }
 
-// RouteKind says how often a request of a route may run.
+// RouteKind determines how often a request of a route may run.
 type RouteKind int
 
-// The kinds of route.
+// The route kinds.
 const (
-	// NonIdempotent: at most one run, also when an answer is lost.
+	// NonIdempotent requests run at most once, even if the answer is lost.
 	NonIdempotent RouteKind = iota
-	// Idempotent: idempotent, may run any number of times.
+	// Idempotent requests may run any number of times.
 	Idempotent
-	// Streams: an answer of events that runs once, unless it is Resumable.
+	// EventStream requests are answered by a stream of events. They run at most once, unless the
+	// route is Resumable.
 	EventStream
 )
 
-// Route says where requests of a host and path go and how they are treated.
+// Route determines where requests for a host and path are sent and how they are handled.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   RouteKind
-	// Resumable streams may go on at another backend server after the last
-	// event that the caller has.
+	// Resumable streams may continue on another backend server, after the last event that the
+	// caller received.
 	Resumable bool
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the longest time that a caller waits for the answer.
 	Timeout time.Duration
-	// LatencyTarget is the time to the answer, or to the first event, that earns full
-	// credit.
+	// LatencyTarget is the time to the answer, or to the first event of a stream, within which a
+	// request counts as on time.
 	LatencyTarget time.Duration
-	// EventGapTarget is the longest pause between two events that is still on time.
+	// EventGapTarget is the longest gap between two events that counts as on time.
 	EventGapTarget time.Duration
-	// Rank orders kinds of request by urgency; zero is the most urgent.
+	// Rank is the urgency of the route's requests; zero is the most urgent.
 	Rank int
-	// MaxAttempts bounds the backend servers that one request is sent to.
+	// MaxAttempts limits the number of backend servers that one request is sent to.
 	MaxAttempts int
 	// Public routes need no key.
 	Public bool
-	// PrefixCached routes carry prompts whose shared parts backend servers cache.
+	// PrefixCached routes carry prompts whose common prefixes are cached by backend servers.
 	PrefixCached bool
 	Splits       []Split
 }
 
-// Split is a service that gets a share of a route's requests.
+// Split is a service that receives a weighted share of a route's requests.
 type Split struct {
 	Service string
 	Weight  int
 }
 
-// Service is what stands behind routes.
+// Service is a group of interchangeable backend servers that routes send requests to.
 type Service struct {
 	Name string
-	// HealthPath answers health checks.
+	// HealthPath is the URL path for health checks.
 	HealthPath string
-	// MaxConns bounds the connections to one backend server, of all daemons.
+	// MaxConns limits the connections of all daemons together to one backend server.
 	MaxConns int
-	// Engine is set for services of model engines.
+	// Engine is set for services that run model engines.
 	Engine *Engine
-	// Scaling is set for services whose backend servers are ordered.
+	// Scaling is set for services whose backend servers are ordered automatically.
 	Scaling *Scaling
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is the number of requests that an engine batches.
+	// Slots is the batch size: the number of requests that an engine runs concurrently.
 	Slots int
-	// CacheTokens is the memory for running requests and cached prompt parts.
+	// CacheTokens is the KV cache size, in tokens, shared by running requests and cached prompt
+	// parts.
 	CacheTokens int
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
-	// KVBytesPerToken is the size of one token's KV cache, in bytes, and LinkBytesPerSecond what
-	// an engine's link carries a second. Zero means that engines do not fetch
-	// prompt parts from each other.
+	// KVBytesPerToken is the size of the KV cache of one token. LinkBytesPerSecond is the bandwidth
+	// of an engine's network link. If either is zero, engines do not fetch prompt parts from each
+	// other.
 	KVBytesPerToken    int
 	LinkBytesPerSecond float64
 }
 
-// Scaling bounds and prices the backend servers of a service.
+// Scaling holds the limits and prices of a service's backend servers.
 type Scaling struct {
-	// MinPerZone and Max bound the servers of one availability zone, both markets
-	// together.
+	// MinPerZone and MaxPerZone limit the number of servers in one availability zone, on-demand and
+	// reclaimable ones together.
 	MinPerZone, MaxPerZone int
 	BootTime               time.Duration
-	// SpotPriceRatio is the price of a reclaimable server as a share of the price of
-	// one on demand. Zero means that there are none.
+	// SpotPriceRatio is the price of a reclaimable server divided by the price of an on-demand one.
+	// Zero means that no reclaimable servers are offered.
 	SpotPriceRatio float64
 	ZonePrices     map[string]float64
 }
 
-// CallerLimits bound what a caller may send and how slowly.
+// CallerLimits limit what callers may send and how slowly.
 type CallerLimits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -125,25 +127,24 @@
 	IdleTimeout   time.Duration
 }
 
-// Workspace is a customer with its keys and its allowance.
+// Workspace is a customer, with its keys and its allowance.
 type Workspace struct {
 	Name string
-	// KeyDigests are the SHA-256 digests of the keys.
+	// KeyDigests are the SHA-256 digests of the workspace's keys.
 	KeyDigests [][sha256.Size]byte
-	// Rank replaces the rank of the route when it is set.
+	// Rank overrides the rank of the route if it is set.
 	Rank *int
-	// RatePerSecond and Burst are the allowance over all daemons together;
-	// zero means no limit. ByTokens says whether it is counted in tokens or in
-	// requests.
+	// RatePerSecond and Burst are the allowance over all daemons together; zero means no limit. The
+	// unit is tokens if ByTokens is set, otherwise requests.
 	RatePerSecond float64
 	Burst         float64
 	ByTokens      bool
-	// PlainRequestTokens is what a request without token counts costs.
+	// PlainRequestTokens is the number of tokens charged for a request without token counts.
 	PlainRequestTokens int
 }
 
-// Build makes the lookup tables. It is called once, before the catalog is
-// shared.
+// Build creates the lookup tables. It must be called once, before the catalog is shared between
+// goroutines.
 func (c *Catalog) Build() *Catalog {
 	c.byHost = map[string][]*Route{}
 	for i := range c.Routes {
@@ -162,8 +163,7 @@
 	return c
 }
 
-// Match returns the route of a host whose prefix begins the path and is the
-// longest, or nil.
+// Match returns the route of the host with the longest prefix that matches the path, or nil.
 func (c *Catalog) Match(host, path string) *Route {
 	for _, r := range c.byHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -173,23 +173,22 @@
 	return nil
 }
 
-// NeedsKey reports whether requests of the route carry a key.
+// NeedsKey reports whether requests of the route need a key.
 func (c *Catalog) NeedsKey(r *Route) bool { return len(c.Workspaces) > 0 && !r.Public }
 
-// WorkspaceByKey returns the workspace that holds a key, or nil.
+// WorkspaceByKey returns the workspace that the key belongs to, or nil.
 func (c *Catalog) WorkspaceByKey(key string) *Workspace { return c.byKey[sha256.Sum256([]byte(key))] }
 
-// PickService returns the service that a request goes to; point is uniform in
-// [0, 1) and picks among the splits.
+// PickService selects one of the route's services by weight. point is uniform in [0, 1).
 func (r *Route) PickService(point float64) string {
 	total := 0
 	for _, s := range r.Splits {
 		total += s.Weight
 	}
-	at := point * float64(total)
+	remaining := point * float64(total)
 	for _, s := range r.Splits {
-		at -= float64(s.Weight)
-		if at < 0 {
+		remaining -= float64(s.Weight)
+		if remaining < 0 {
 			return s.Service
 		}
 	}
@@ -199,8 +198,8 @@
 	return r.Splits[len(r.Splits)-1].Service
 }
 
-// Retryable reports whether a request of the route may be sent again after an
-// attempt that may have run.
+// Retryable reports whether a request of the route may be sent again after an attempt that may have
+// run.
 func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || (r.Kind == EventStream && r.Resumable)
 }
