--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,6 +1,5 @@
-// Package capacity decides how many backend servers of a service there should
-// be in each zone, on demand and reclaimable. It does no I/O; the time is
-// passed in.
+// Package capacity plans how many on-demand and reclaimable backend servers of a service each
+// availability zone should have. It does no I/O; the time is passed in.
 package capacity
 
 import (
@@ -13,42 +12,43 @@
 )
 
 const (
-	// maxPrefillUtilization is the share of the time that engines should spend on reading prompts:
-	// above, prompts wait longer than they take to be read.
+	// maxPrefillUtilization is the planned share of the time that engines spend on prefill. Above
+	// it, prompts wait longer than their own prefill takes.
 	maxPrefillUtilization = 0.6
-	// maxBatchUtilization is the share of the places in their batches that should be taken.
-	// Answers differ in length, and daemons know of each other's with a delay.
+	// maxBatchUtilization is the planned share of occupied batch slots. Some slots stay free
+	// because answers differ in length and daemons learn of each other's requests with a delay.
 	maxBatchUtilization = 0.5
-	// maxMemoryUtilization is the share of the memory that running requests should take. The rest
-	// caches parts of prompts.
+	// maxMemoryUtilization is the planned share of KV cache memory that running requests occupy.
+	// The rest caches prompt parts.
 	maxMemoryUtilization = 0.6
-	// maxZoneLossFactor bounds by how much a zone's loss is prepared for. With two zones half of
-	// the servers go at once, and twice as many would idle all the time.
+	// maxZoneLossFactor limits the overprovisioning for the loss of a zone. With two zones, half of
+	// the servers are lost at once, and covering that would leave twice the needed servers idle all
+	// the time.
 	maxZoneLossFactor = 1.5
-	// largeFleetFactor times what is needed beyond few engines is ordered: requests then look
-	// at a few of them only, and what daemons know of them is older. On a grown quiet day
-	// until second 34, a factor of 1 left 17.6% of the streams late and 1.33 8.9%.
+	// largeFleetFactor scales the engines needed beyond maxFullScan. In a larger fleet, each
+	// request considers only a few engines, and the daemons' data about them is older. A factor of
+	// 1 left 17.6% of the streams late, a factor of 1.33 left 8.9%.
 	largeFleetFactor = 1.43
-	// maxFullScan is the number of engines up to which all are looked at.
+	// maxFullScan is the number of engines up to which every request considers all of them.
 	maxFullScan = 16
-	// spareEngines is the number of servers beyond that.
+	// spareEngines is added to the number of engines needed.
 	spareEngines = 1.0
 )
 
-// requiredEngines returns the number of engines for a load in a deployment with so many zones.
-// The resource that binds decides, so that the rest of the engines carries the load
-// when a zone is lost, until others have booted.
+// requiredEngines returns the number of engines needed for a load in a deployment with the given
+// number of zones. The resource with the highest utilization determines it. If a zone is lost, the
+// remaining engines carry the load until replacements have booted.
 func requiredEngines(load demand.Load, zones int) int {
-	busy := max(load.Prefill/maxPrefillUtilization, load.Batch/maxBatchUtilization, load.Memory/maxMemoryUtilization)
-	needed := busy * zoneLossFactor(zones)
+	engines := max(load.Prefill/maxPrefillUtilization, load.Batch/maxBatchUtilization, load.Memory/maxMemoryUtilization)
+	needed := engines * zoneLossFactor(zones)
 	if needed > maxFullScan {
 		needed = maxFullScan + (needed-maxFullScan)*largeFleetFactor
 	}
 	return int(math.Ceil(needed + spareEngines))
 }
 
-// zoneLossFactor is by how much a fleet spread over so many zones is larger than what is
-// left of it when one is lost.
+// zoneLossFactor returns the ratio of a fleet spread over the given number of zones to what remains
+// of it after the loss of one zone.
 func zoneLossFactor(zones int) float64 {
 	if zones < 2 {
 		return 1
@@ -56,30 +56,30 @@
 	return min(maxZoneLossFactor, float64(zones)/float64(zones-1))
 }
 
-// Zone is what is known of a service in one zone.
+// Zone is the state of a service in one availability zone.
 type Zone struct {
 	Name string
-	// OnDemand and Reclaimable are the servers that take new work.
+	// OnDemand and Reclaimable are the numbers of servers that accept new requests.
 	OnDemand    int
 	Reclaimable int
-	// OnDemandAtLimit and ReclaimableAtLimit are those among them that take fewer requests than
-	// callers ask of them.
+	// OnDemandAtLimit and ReclaimableAtLimit are the numbers of those servers whose request limit
+	// is below the demand for them.
 	OnDemandAtLimit    int
 	ReclaimableAtLimit int
-	// ReclaimableExhausted is set while the cloud has no reclaimable servers to give here.
+	// ReclaimableExhausted is set while the cloud has no reclaimable servers available in the zone.
 	ReclaimableExhausted bool
 }
 
-// State is what a plan is made from.
+// State is the input of a plan.
 type State struct {
 	Scaling catalog.Scaling
 	Zones   []Zone
-	// Load is the number of servers that the present demand keeps busy.
+	// Load is the number of servers that the current demand keeps busy, by resource.
 	Load demand.Load
-	// MinServers is the number of servers to have whatever the load.
+	// MinServers is the least number of servers, regardless of the load.
 	MinServers int
-	// ReclaimWave is set while reclaimable servers are being taken away in some zone, or were
-	// lately: reclaims come in waves, one zone after the other.
+	// ReclaimWave is set while reclaimable servers of any zone are being reclaimed, or recently
+	// were. Reclaims come in waves that hit one zone after the other.
 	ReclaimWave bool
 }
 
@@ -90,9 +90,9 @@
 	Reclaimable int
 }
 
-// Plan returns a target for every zone. Few servers are on demand (see base). The
-// rest is reclaimable, spread over the zones; where a zone has none to give,
-// servers on demand in the cheapest zones stand in.
+// Plan returns a target for every zone. Few servers are on demand (see baseOnDemand). The rest is
+// reclaimable and spread over the zones. Where the cloud has no reclaimable servers, on-demand
+// servers are added instead, in the cheapest zones first.
 func Plan(s State) []Target {
 	zones := slices.Clone(s.Zones)
 	slices.SortFunc(zones, func(a, b Zone) int {
@@ -112,9 +112,10 @@
 	return targets
 }
 
-// substitutionTarget is the number of servers up to which some on demand stand in for
-// reclaimable ones that are not to be had. What was found, before the demand is known, is
-// kept at the price of reclaimable servers, where there are such.
+// substitutionTarget returns the total number of servers up to which on-demand servers substitute
+// for missing reclaimable ones. If the service uses reclaimable servers, MinServers doesn't count
+// toward it: the initial fleet is kept, while the demand is unknown, only at the price of
+// reclaimable servers.
 func substitutionTarget(s State, needed int) int {
 	if s.Scaling.SpotPriceRatio > 0 {
 		return requiredEngines(s.Load, len(s.Zones))
@@ -122,29 +123,29 @@
 	return needed
 }
 
-// onDemandZones is the number of zones with a server on demand while nothing is reclaimed:
-// what is left if all reclaimable servers go at once.
+// onDemandZones is the number of zones that have an on-demand server outside of reclaim waves. It
+// remains if all reclaimable servers are reclaimed at once.
 const onDemandZones = 1
 
-// singleZoneOnDemandShare is the part of the servers needed that is on demand where there is one zone
-// alone: when its reclaimable servers go, nothing else is left.
+// singleZoneOnDemandShare is the share of on-demand servers in a deployment with a single zone. If
+// its reclaimable servers are reclaimed, no other servers remain.
 const singleZoneOnDemandShare = 0.5
 
-// baseOnDemand returns the number of servers on demand of the zone in a place by price. During
-// a wave of reclaims each zone has one, so that it can serve when its reclaimable
-// servers go too; before, they would cost several times as much and do nothing that
-// the reclaimable ones of other zones do not.
-func baseOnDemand(s State, place, needed int) int {
+// baseOnDemand returns the number of on-demand servers of the zone at an index by price. During a
+// reclaim wave every zone has one, so that it can serve requests if its reclaimable servers are
+// reclaimed too. At other times such servers would cost several times as much as the reclaimable
+// servers of other zones without any benefit over them.
+func baseOnDemand(s State, priceIndex, needed int) int {
 	if len(s.Zones) == 1 && s.Scaling.SpotPriceRatio > 0 {
 		return min(s.Scaling.MaxPerZone, max(1, s.Scaling.MinPerZone, int(math.Ceil(singleZoneOnDemandShare*float64(needed)))))
 	}
-	if s.ReclaimWave || s.Scaling.SpotPriceRatio <= 0 || place < onDemandZones {
+	if s.ReclaimWave || s.Scaling.SpotPriceRatio <= 0 || priceIndex < onDemandZones {
 		return max(1, s.Scaling.MinPerZone)
 	}
 	return 0
 }
 
-// totalServers counts the servers of all targets.
+// totalServers returns the number of servers of all targets.
 func totalServers(targets []Target) int {
 	sum := 0
 	for _, t := range targets {
@@ -153,20 +154,19 @@
 	return sum
 }
 
-// spreadReclaimable asks for the same number of reclaimable servers in every
-// zone, at least one each.
+// spreadReclaimable sets the same number of reclaimable servers in every zone, at least one each.
 func spreadReclaimable(s State, targets []Target, wanted int) {
 	if s.Scaling.SpotPriceRatio <= 0 {
 		return
 	}
 	each := max(1, int(math.Ceil(float64(wanted)/float64(len(targets)))))
 	for i := range targets {
-		most, least := s.Scaling.MaxPerZone-targets[i].OnDemand, s.Scaling.MinPerZone-targets[i].OnDemand
-		targets[i].Reclaimable = max(0, min(max(each, least), most))
+		maxCount, minCount := s.Scaling.MaxPerZone-targets[i].OnDemand, s.Scaling.MinPerZone-targets[i].OnDemand
+		targets[i].Reclaimable = max(0, min(max(each, minCount), maxCount))
 	}
 }
 
-// expectedReclaimable is the number of reclaimable servers that a zone will have.
+// expectedReclaimable returns the number of reclaimable servers that a zone is expected to get.
 func expectedReclaimable(z Zone, t Target) int {
 	if z.ReclaimableExhausted {
 		return min(z.Reclaimable, t.Reclaimable)
@@ -174,12 +174,12 @@
 	return t.Reclaimable
 }
 
-// addOnDemand spreads further servers on demand, the cheapest zone first.
-func addOnDemand(most int, zones []Zone, targets []Target, count int) {
+// addOnDemand adds on-demand servers in turn over the zones, the cheapest zone first.
+func addOnDemand(maxPerZone int, zones []Zone, targets []Target, count int) {
 	for count > 0 {
 		added := false
 		for i := range targets {
-			if count > 0 && targets[i].OnDemand+expectedReclaimable(zones[i], targets[i]) < most {
+			if count > 0 && targets[i].OnDemand+expectedReclaimable(zones[i], targets[i]) < maxPerZone {
 				targets[i].OnDemand++
 				count--
 				added = true
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -13,13 +13,13 @@
 
 var testScaling = catalog.Scaling{MinPerZone: 1, MaxPerZone: 6, SpotPriceRatio: 0.22, ZonePrices: map[string]float64{"a": 1.2, "b": 0.85, "c": 1}}
 
-// prefillLoad is a load that keeps engines busy with reading prompts alone.
+// prefillLoad returns a load that consists of prefill only.
 func prefillLoad(engines float64) demand.Load { return demand.Load{Prefill: engines} }
 
-func testZones(dry ...string) []Zone {
+func testZones(exhausted ...string) []Zone {
 	all := []Zone{{Name: "a"}, {Name: "b"}, {Name: "c"}}
 	for i := range all {
-		for _, name := range dry {
+		for _, name := range exhausted {
 			all[i].ReclaimableExhausted = all[i].ReclaimableExhausted || all[i].Name == name
 		}
 	}
@@ -34,8 +34,9 @@
 	return onDemand, reclaimable
 }
 
-// TestLowDemandNeedsOneServerPerZone: each zone has a server, on demand in the cheapest zone
-// alone. During a wave of reclaims each zone has one that stays.
+// TestLowDemandNeedsOneServerPerZone checks that every zone has a reclaimable server at low demand
+// and that only the cheapest zone has an on-demand server. During a reclaim wave, every zone has an
+// on-demand server as well.
 func TestLowDemandNeedsOneServerPerZone(t *testing.T) {
 	c := qt.New(t)
 	onDemand, reclaimable := countTargets(Plan(State{Scaling: testScaling, Zones: testZones(), Load: prefillLoad(0.5), ReclaimWave: true}))
@@ -57,16 +58,16 @@
 
 func TestOnDemandServersReplaceExhaustedReclaimable(t *testing.T) {
 	c := qt.New(t)
-	calm, _ := countTargets(Plan(State{Scaling: testScaling, Zones: testZones(), Load: prefillLoad(2.5)}))
+	lowLoad, _ := countTargets(Plan(State{Scaling: testScaling, Zones: testZones(), Load: prefillLoad(2.5)}))
 	targets := Plan(State{Scaling: testScaling, Zones: testZones("a", "b", "c"), Load: prefillLoad(2.5), ReclaimWave: true})
 	onDemand, _ := countTargets(targets)
-	c.Check(calm, qt.Equals, 1)
+	c.Check(lowLoad, qt.Equals, 1)
 	c.Check(float64(onDemand) >= 2.5/maxPrefillUtilization*1.5+spareEngines, qt.IsTrue, qt.Commentf("%d", onDemand))
 	c.Check(targets[0].Zone, qt.Equals, "b", qt.Commentf("the cheapest zone comes first"))
 }
 
-// TestPlanStaysWithinBounds: whatever the demand, a zone has at least the
-// minimum and at most the maximum, counting those that will be there.
+// TestPlanStaysWithinBounds checks that the expected servers of a zone stay between its minimum and
+// maximum at any demand.
 func TestPlanStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := State{Scaling: testScaling, Load: prefillLoad(rapid.Float64Range(0, 100).Draw(t, "load"))}
@@ -83,32 +84,34 @@
 				if z.Name != target.Zone {
 					continue
 				}
-				if there := target.OnDemand + expectedReclaimable(z, target); there > s.Scaling.MaxPerZone {
-					t.Fatalf("%d servers in %s", there, z.Name)
+				if expected := target.OnDemand + expectedReclaimable(z, target); expected > s.Scaling.MaxPerZone {
+					t.Fatalf("%d servers in %s", expected, z.Name)
 				}
 				if target.OnDemand+expectedReclaimable(z, target) < max(1, s.Scaling.MinPerZone) || target.Reclaimable < 0 {
-					t.Fatalf("too few: %+v", target)
+					t.Fatalf("too few servers: %+v", target)
 				}
 			}
 		}
 	})
 }
 
-// TestResourceThatBindsDecides: engines with narrow batches, long streams or little
-// memory are as many as that resource asks for.
+// TestResourceThatBindsDecides guards against fleets that are too small for engines with small
+// batches, long streams or little memory. The resource with the highest utilization must determine
+// the number of engines.
 func TestResourceThatBindsDecides(t *testing.T) {
 	c := qt.New(t)
-	needs := func(load demand.Load) int { return requiredEngines(load, 4) }
-	reads := needs(demand.Load{Prefill: 3})
-	c.Check(reads, qt.Equals, 8, qt.Commentf("3 / 0.6 * 4/3, rounded up, and one to spare"))
-	c.Check(needs(demand.Load{Prefill: 3, Batch: 2, Memory: 1}), qt.Equals, reads)
-	c.Check(needs(demand.Load{Prefill: 3, Batch: 6}) > reads, qt.IsTrue)
-	c.Check(needs(demand.Load{Prefill: 3, Memory: 6}) > reads, qt.IsTrue)
+	required := func(load demand.Load) int { return requiredEngines(load, 4) }
+	prefillOnly := required(demand.Load{Prefill: 3})
+	c.Check(prefillOnly, qt.Equals, 8, qt.Commentf("3 / 0.6 * 4/3, rounded up, plus one spare"))
+	c.Check(required(demand.Load{Prefill: 3, Batch: 2, Memory: 1}), qt.Equals, prefillOnly)
+	c.Check(required(demand.Load{Prefill: 3, Batch: 6}) > prefillOnly, qt.IsTrue)
+	c.Check(required(demand.Load{Prefill: 3, Memory: 6}) > prefillOnly, qt.IsTrue)
 	c.Check(requiredEngines(demand.Load{Prefill: 3}, 1) < requiredEngines(demand.Load{Prefill: 3}, 7), qt.IsTrue)
-	c.Check(requiredEngines(demand.Load{Prefill: 3}, 7) < reads, qt.IsTrue, qt.Commentf("a seventh of the fleet is less to lose"))
+	c.Check(requiredEngines(demand.Load{Prefill: 3}, 7) < prefillOnly, qt.IsTrue, qt.Commentf("the loss of one zone in seven takes a smaller share of the fleet"))
 }
 
-// TestSingleZoneKeepsHalfOnDemand: when its reclaimable servers go, nothing else is left.
+// TestSingleZoneKeepsHalfOnDemand guards against a single zone without servers after its
+// reclaimable servers are reclaimed.
 func TestSingleZoneKeepsHalfOnDemand(t *testing.T) {
 	c := qt.New(t)
 	s := State{Scaling: testScaling, Zones: []Zone{{Name: "a"}}, Load: prefillLoad(3)}
--- a/internal/capacity/planner.go
+++ b/internal/capacity/planner.go
@@ -9,80 +9,81 @@
 )
 
 const (
-	// orderConfirmMargin is how much longer than the boot time an order may take to
-	// show in the list before it is given again.
+	// orderConfirmMargin is added to the boot time to get the time after which an order that has
+	// not taken effect in the VM list is repeated.
 	orderConfirmMargin = 3 * time.Second
-	// exhaustedRetryDelay is how long no reclaimable servers are asked for in a zone after
-	// the cloud had none.
+	// exhaustedRetryDelay is how long no reclaimable servers are ordered in a zone after the cloud
+	// had none available.
 	exhaustedRetryDelay = 4 * time.Second
-	// scaleDownBootFactor times the boot time is how long fewer reclaimable servers must have been
-	// wanted before fewer are asked for: demand is uneven, and a server that leaves takes
-	// its cache along, and its successor boots before it reads all that again. Half of
-	// that (6 s at 4 s of boot) cost 0.015 on the newest users' days, twice brought
-	// nothing. minScaleDownDelay and maxScaleDownDelay bound it.
+	// scaleDownBootFactor is how long, in boot times, the demand for reclaimable servers must stay
+	// lower before they are scaled down. Demand fluctuates, a removed server loses its cache, and
+	// its replacement must boot before it can fill its cache again. Half of this factor (6 s at a
+	// boot time of 4 s) worsened the objective by 0.015, and twice the factor improved nothing.
+	// minScaleDownDelay and maxScaleDownDelay limit the delay.
 	scaleDownBootFactor = 3
 	minScaleDownDelay   = 6 * time.Second
 	maxScaleDownDelay   = 30 * time.Second
-	// onDemandScaleDownDelay is the same for servers on demand, which cost several times as
+	// onDemandScaleDownDelay is the same delay for on-demand servers, which cost several times as
 	// much to keep.
 	onDemandScaleDownDelay = 2 * time.Second
-	// demandWarmup is how long after the first request the demand is not known yet: two
-	// times the memory of the meters.
+	// demandWarmup is how long after the first request the demand is considered unknown: twice the
+	// default time constant of the demand meter.
 	demandWarmup = 6 * time.Second
-	// discoveryPeriod is how long a planner looks at the servers before it orders any,
-	// unless there is demand: when a deployment starts, its servers are listed one
-	// after the other within two of their heartbeats (1.2 s).
+	// discoveryPeriod is how long a planner observes the servers before its first order, unless
+	// there is demand. When a deployment starts, its servers are listed one after the other within
+	// two heartbeats (1.2 s).
 	discoveryPeriod = 3 * time.Second
-	// initialFleetShare is the part of the servers found that is kept until then. In the
-	// model's grown day, half of those set up at the start are busy at 0.4.
+	// initialFleetShare is the share of the initial fleet that is kept until the demand is known.
+	// In a simulated large deployment, half of the initial servers would run at a utilization of
+	// 0.4.
 	initialFleetShare = 1.0
-	// unansweredRetryDelay is how soon an order without an answer is given again.
+	// unansweredRetryDelay is the delay after which an order without a reply is repeated.
 	unansweredRetryDelay = 1500 * time.Millisecond
 )
 
-// Market is one kind of server in one zone.
+// Market is one kind of server, on demand or reclaimable, in one availability zone.
 type Market struct {
 	Zone        string
 	Reclaimable bool
 }
 
-// Order asks for a number of servers in a market.
+// Order sets the number of servers in a market.
 type Order struct {
 	Market
 	Count int
-	// Present is the number of such servers that take new work.
+	// Present is the number of servers of the market that accept new requests.
 	Present int
 }
 
-// Reply is how the cloud answered an order.
+// Reply is the cloud's reply to an order.
 type Reply int
 
-// The answers to an order.
+// The replies to an order.
 const (
 	// ReplyAccepted: the order is being carried out.
 	ReplyAccepted Reply = iota
-	// ReplyDeclined: there are no such servers, or another holder acts.
+	// ReplyDeclined: no such servers are available, or another daemon holds the lease.
 	ReplyDeclined
-	// ReplyNone: no answer came; the order may have been taken.
+	// ReplyNone: no reply arrived, and the order may have been accepted.
 	ReplyNone
 )
 
-// Planner turns the plans for one service into orders over time: not each
-// change of a plan is worth an order, and not each order takes effect.
+// Planner turns the plans for one service into orders over time. It suppresses orders for
+// short-lived changes of the plan, and repeats orders that have not taken effect.
 type Planner struct {
 	lastOrders map[Market]placedOrder
 	heldCounts map[Market]heldCount
-	// exhaustedUntil is until when the cloud is taken to have no servers of a market.
+	// exhaustedUntil is the time until which the cloud is assumed to have no servers of a market.
 	exhaustedUntil map[Market]time.Time
-	// initialFleet is the highest number of servers seen before there was any demand, asked
-	// when there was first some.
+	// initialFleet is the highest number of servers seen before the first demand and the first
+	// order. firstDemandAt is the time of the first demand.
 	initialFleet  int
 	firstDemandAt time.Time
-	// startedAt is when the planner began to look.
+	// startedAt is the time of the first call of Orders.
 	startedAt time.Time
-	// tookOver is set for a planner that takes over from an earlier holder's.
+	// tookOver is set if the planner continues the work of an earlier lease holder's planner.
 	tookOver bool
-	// lastReclaimAt is when a zone last had no reclaimable servers to give.
+	// lastReclaimAt is when a zone last had no reclaimable servers available.
 	lastReclaimAt time.Time
 }
 
@@ -93,21 +94,22 @@
 	accepted bool
 }
 
-// heldCount is the number of servers that is held on to, and since when.
+// heldCount is the number of servers ordered in a market, and the last time at which the plan
+// wanted at least that many.
 type heldCount struct {
 	count int
 	since time.Time
 }
 
-// NewPlanner returns a planner that knows of no earlier order.
+// NewPlanner returns a planner without earlier orders.
 func NewPlanner() *Planner {
 	return &Planner{lastOrders: map[Market]placedOrder{}, heldCounts: map[Market]heldCount{}, exhaustedUntil: map[Market]time.Time{}}
 }
 
-// Orders returns the orders to give now. Each must be followed by Answered.
+// Orders returns the orders to place now. RecordReply must be called for each of them.
 func (p *Planner) Orders(s State, now time.Time) []Order {
 	for i := range s.Zones {
-		if _, dry := p.exhaustedUntil[Market{s.Zones[i].Name, true}]; dry {
+		if _, exhausted := p.exhaustedUntil[Market{s.Zones[i].Name, true}]; exhausted {
 			s.Zones[i].ReclaimableExhausted = true
 		}
 	}
@@ -122,17 +124,18 @@
 	return p.OrdersFor(Plan(s), s, now)
 }
 
-// minServers returns the number of servers to keep until the demand is known: a part of
-// those that were found, which somebody took for enough.
+// minServers returns the number of servers to keep until the demand is known: a share of the
+// initial fleet, which the operator considered sufficient.
 func (p *Planner) minServers(s State, now time.Time) int {
 	if p.startedAt.IsZero() && s.Load != (demand.Load{}) {
-		// An earlier holder has given up its orders; the demand is known.
+		// An earlier lease holder placed orders before, so that the demand is known already.
 		p.firstDemandAt = now.Add(-demandWarmup)
 		p.tookOver = true
 	}
 	if p.firstDemandAt.IsZero() {
 		if len(p.lastOrders) == 0 {
-			// Later, servers that are to be replaced and those that replace them are there.
+			// After the first order, the count would include both the replaced servers and their
+			// replacements.
 			p.initialFleet = max(p.initialFleet, s.presentServers())
 		}
 		if s.Load != (demand.Load{}) {
@@ -145,12 +148,12 @@
 	return 0
 }
 
-// reclaimWaveDuration is how long after a zone last had none to give a wave of reclaims is taken to
-// go on: the next zone's turn comes some seconds later, and a server takes as long to
-// boot.
+// reclaimWaveDuration is how long a reclaim wave is assumed to continue after a zone last had no
+// reclaimable servers available. The wave reaches the next zone some seconds later, and a server
+// takes as long to boot.
 const reclaimWaveDuration = 15 * time.Second
 
-// inReclaimWave reports whether reclaimable servers are being taken away, or were lately.
+// inReclaimWave reports whether reclaimable servers are being reclaimed or recently were.
 func (p *Planner) inReclaimWave(s State, now time.Time) bool {
 	for _, z := range s.Zones {
 		if z.ReclaimableExhausted {
@@ -168,7 +171,8 @@
 	return sum
 }
 
-// OrdersFor returns the orders that lead to the targets.
+// OrdersFor returns the orders that lead to the targets. RecordReply must be called for each of
+// them.
 func (p *Planner) OrdersFor(targets []Target, s State, now time.Time) []Order {
 	var orders []Order
 	for _, target := range targets {
@@ -183,10 +187,10 @@
 	return orders
 }
 
-// withLimitReplacements adds a server for each that takes fewer requests than it is asked for, as far as
-// the zone may have so many.
-func withLimitReplacements(target Target, present Zone, most int) Target {
-	room := max(0, most-target.OnDemand-target.Reclaimable)
+// withLimitReplacements adds a server for each one whose request limit is below the demand, within
+// the maximum of the zone.
+func withLimitReplacements(target Target, present Zone, maxPerZone int) Target {
+	room := max(0, maxPerZone-target.OnDemand-target.Reclaimable)
 	reclaimable := min(room, present.ReclaimableAtLimit)
 	target.Reclaimable += reclaimable
 	target.OnDemand += min(room-reclaimable, present.OnDemandAtLimit)
@@ -202,8 +206,8 @@
 	return Zone{Name: name}
 }
 
-// appendOrder appends an order when it differs from the last one, or when that one has
-// not taken effect in time.
+// appendOrder appends the order if it differs from the last one, or if the last one has not taken
+// effect in time.
 func (p *Planner) appendOrder(orders []Order, order Order, scaling catalog.Scaling, now time.Time) []Order {
 	order.Count = p.delayScaleDown(order, scaling.BootTime, now)
 	last, known := p.lastOrders[order.Market]
@@ -216,19 +220,19 @@
 		delete(p.exhaustedUntil, order.Market)
 	}
 	repeated := known && last.count == order.Count
-	retry, dry := p.exhaustedUntil[order.Market]
+	retryAt, exhausted := p.exhaustedUntil[order.Market]
 	switch {
 	case repeated && (settled || now.Sub(last.placedAt) < wait):
 	case !known && order.Present == order.Count:
-	case dry && now.Before(retry):
+	case exhausted && now.Before(retryAt):
 	default:
 		orders = append(orders, order)
 	}
 	return orders
 }
 
-// delayScaleDown returns the number to ask for: a higher one at once, a lower one when it
-// has been wanted for a while.
+// delayScaleDown returns the number of servers to order. An increase applies immediately, a
+// decrease after the scale-down delay.
 func (p *Planner) delayScaleDown(order Order, boot time.Duration, now time.Time) int {
 	delay := onDemandScaleDownDelay
 	if order.Reclaimable {
@@ -236,8 +240,8 @@
 	}
 	held, known := p.heldCounts[order.Market]
 	if !known && p.tookOver && order.Present > order.Count {
-		// Why an earlier holder wanted them is not known: a zone that has none to give
-		// shows when it is asked.
+		// The reason for the earlier lease holder's surplus is unknown. It may substitute for
+		// servers of a zone that has no reclaimable ones, which shows only when they are ordered.
 		held, known = heldCount{count: order.Present, since: now}, true
 		p.heldCounts[order.Market] = held
 	}
@@ -248,14 +252,13 @@
 	return held.count
 }
 
-// longBootTime is the boot time from which on servers on demand stay until those that
-// replace them are there. A gap of 4 s costs less than to keep them (paired, 4 seeds a
-// day: -0.001 and -0.009 on two users' days); one of 20 s lost a third of the requests
-// in the model.
+// longBootTime is the boot time from which on-demand servers are kept until their replacements have
+// booted. A gap of 4 s costs less than keeping the servers, which worsened the objective by 0.001
+// and 0.009 in two deployments. A gap of 20 s lost a third of the requests in simulation.
 const longBootTime = 8 * time.Second
 
-// onDemandUntilReplaced returns the number of servers on demand to keep in a zone while
-// reclaimable ones that are to replace them boot.
+// onDemandUntilReplaced returns the number of on-demand servers to keep in a zone while the
+// reclaimable servers that replace them boot.
 func onDemandUntilReplaced(target Target, present Zone, boot time.Duration) int {
 	missing := target.Reclaimable - present.Reclaimable
 	if boot < longBootTime || missing <= 0 || present.ReclaimableExhausted {
@@ -264,12 +267,13 @@
 	return max(target.OnDemand, min(present.OnDemand, target.OnDemand+missing))
 }
 
-// reclaimableScaleDownDelay returns how long fewer reclaimable servers must have been wanted.
+// reclaimableScaleDownDelay returns how long fewer reclaimable servers must be wanted before they
+// are scaled down.
 func reclaimableScaleDownDelay(boot time.Duration) time.Duration {
 	return max(minScaleDownDelay, min(maxScaleDownDelay, scaleDownBootFactor*boot))
 }
 
-// RecordReply takes over how the cloud answered an order.
+// RecordReply records the cloud's reply to an order.
 func (p *Planner) RecordReply(order Order, reply Reply, now time.Time) {
 	p.lastOrders[order.Market] = placedOrder{count: order.Count, placedAt: now, accepted: reply == ReplyAccepted}
 	switch reply {
--- a/internal/capacity/planner_test.go
+++ b/internal/capacity/planner_test.go
@@ -11,7 +11,7 @@
 
 var startTime = time.Unix(1000, 0)
 
-// orderAndReply gives the orders of a moment and lets the cloud take them.
+// orderAndReply returns the orders at a time and gives the planner the same reply to all of them.
 func orderAndReply(p *Planner, s State, at time.Time, reply Reply) []Order {
 	orders := p.Orders(s, at)
 	for _, o := range orders {
@@ -20,8 +20,8 @@
 	return orders
 }
 
-// plannerInReclaimWave returns a planner that has just seen servers reclaimed: each zone keeps a
-// server on demand.
+// plannerInReclaimWave returns a planner that has just observed a reclaim. Every zone keeps an
+// on-demand server.
 func plannerInReclaimWave(at time.Time) *Planner {
 	p := NewPlanner()
 	p.lastReclaimAt = at
@@ -42,7 +42,7 @@
 	p := plannerInReclaimWave(startTime)
 	c.Check(orderAndReply(p, stateWithServers(1, 0), startTime, ReplyAccepted), qt.HasLen, 3)
 	c.Check(orderAndReply(p, stateWithServers(1, 0), startTime.Add(6*time.Second), ReplyAccepted), qt.HasLen, 0)
-	c.Check(orderAndReply(p, stateWithServers(1, 0), startTime.Add(8*time.Second), ReplyAccepted), qt.HasLen, 3, qt.Commentf("nothing has come of them"))
+	c.Check(orderAndReply(p, stateWithServers(1, 0), startTime.Add(8*time.Second), ReplyAccepted), qt.HasLen, 3, qt.Commentf("the orders have not taken effect"))
 }
 
 func TestUnansweredOrderIsRetried(t *testing.T) {
@@ -70,11 +70,11 @@
 	orderAndReply(p, busy, startTime.Add(-discoveryPeriod), ReplyAccepted)
 	busy.Load = prefillLoad(3)
 	orderAndReply(p, busy, startTime, ReplyAccepted)
-	calm := stateWithServers(1, 2)
-	c.Check(orderAndReply(p, calm, startTime.Add(time.Second), ReplyAccepted), qt.HasLen, 0)
-	fewer := orderAndReply(p, calm, startTime.Add(demandWarmup), ReplyAccepted)
-	fewer = append(fewer, orderAndReply(p, calm, startTime.Add(demandWarmup+reclaimableScaleDownDelay(calm.Scaling.BootTime)), ReplyAccepted)...)
-	c.Check(len(fewer) > 0, qt.IsTrue)
+	lowLoad := stateWithServers(1, 2)
+	c.Check(orderAndReply(p, lowLoad, startTime.Add(time.Second), ReplyAccepted), qt.HasLen, 0)
+	removals := orderAndReply(p, lowLoad, startTime.Add(demandWarmup), ReplyAccepted)
+	removals = append(removals, orderAndReply(p, lowLoad, startTime.Add(demandWarmup+reclaimableScaleDownDelay(lowLoad.Scaling.BootTime)), ReplyAccepted)...)
+	c.Check(len(removals) > 0, qt.IsTrue)
 }
 
 func TestInitialFleetIsKeptUntilDemandIsKnown(t *testing.T) {
@@ -91,7 +91,7 @@
 		return sum
 	}
 	c.Check(total(startTime), qt.Equals, 9)
-	c.Check(total(startTime.Add(time.Minute)), qt.Equals, 9, qt.Commentf("nobody has asked for anything yet"))
+	c.Check(total(startTime.Add(time.Minute)), qt.Equals, 9, qt.Commentf("no request has arrived yet"))
 	found.Load = prefillLoad(0.5)
 	c.Check(total(startTime.Add(time.Minute)), qt.Equals, 9)
 	c.Check(total(startTime.Add(time.Minute+demandWarmup)), qt.Equals, 6)
@@ -113,13 +113,13 @@
 	c.Check(sum, qt.Equals, 10, qt.Commentf("one on demand in the cheapest zone, three reclaimable in each"))
 }
 
-// TestSuccessorScalesDownToDemand: what is there beyond the demand is given up, but
-// not before the successor has learned whether its predecessor had a reason.
+// TestSuccessorScalesDownToDemand checks that a new lease holder removes servers beyond the demand,
+// but only after the scale-down delay, in which it can learn whether its predecessor needed them.
 func TestSuccessorScalesDownToDemand(t *testing.T) {
 	c := qt.New(t)
 	p := plannerInReclaimWave(startTime)
 	c.Check(orderAndReply(p, stateWithServers(3, 3), startTime, ReplyAccepted), qt.HasLen, 0)
-	asked := func(at time.Time, reclaimable bool) (sum int) {
+	ordered := func(at time.Time, reclaimable bool) (sum int) {
 		for _, o := range orderAndReply(p, stateWithServers(3, 3), at, ReplyAccepted) {
 			if o.Reclaimable == reclaimable {
 				sum += o.Count
@@ -127,12 +127,12 @@
 		}
 		return sum
 	}
-	c.Check(asked(startTime.Add(onDemandScaleDownDelay), false), qt.Equals, 3, qt.Commentf("one on demand in each zone"))
-	c.Check(asked(startTime.Add(reclaimableScaleDownDelay(4*time.Second)), true), qt.Equals, 3, qt.Commentf("one reclaimable in each zone"))
+	c.Check(ordered(startTime.Add(onDemandScaleDownDelay), false), qt.Equals, 3, qt.Commentf("one on demand in each zone"))
+	c.Check(ordered(startTime.Add(reclaimableScaleDownDelay(4*time.Second)), true), qt.Equals, 3, qt.Commentf("one reclaimable in each zone"))
 }
 
-// TestSuccessorKeepsOnDemandSubstitutes: the predecessor had ordered servers on demand
-// for zones without reclaimable ones, and lost the lease.
+// TestSuccessorKeepsOnDemandSubstitutes guards against a new lease holder that removes on-demand
+// servers which its predecessor ordered because zones had no reclaimable ones.
 func TestSuccessorKeepsOnDemandSubstitutes(t *testing.T) {
 	c := qt.New(t)
 	p := NewPlanner()
@@ -147,8 +147,8 @@
 	}
 }
 
-// TestReclaimWaveAddsOnDemandInEveryZone: before the next zone's turn comes,
-// and they go when the wave is over.
+// TestReclaimWaveAddsOnDemandInEveryZone checks that every zone gets an on-demand server before the
+// wave reaches the next zone, and that these servers are removed after the wave.
 func TestReclaimWaveAddsOnDemandInEveryZone(t *testing.T) {
 	c := qt.New(t)
 	p := NewPlanner()
@@ -161,23 +161,23 @@
 		}
 		return zones
 	}
-	calm, hit := stateWithServers(1, 2), stateWithServers(1, 2)
-	hit.Zones[0].ReclaimableExhausted, hit.Zones[0].Reclaimable = true, 0
-	c.Check(onDemand(calm, startTime), qt.Equals, 1)
-	c.Check(onDemand(hit, startTime), qt.Equals, 3)
-	c.Check(onDemand(calm, startTime.Add(reclaimWaveDuration-time.Second)), qt.Equals, 3)
-	c.Check(onDemand(calm, startTime.Add(reclaimWaveDuration)), qt.Equals, 1)
+	lowLoad, reclaimed := stateWithServers(1, 2), stateWithServers(1, 2)
+	reclaimed.Zones[0].ReclaimableExhausted, reclaimed.Zones[0].Reclaimable = true, 0
+	c.Check(onDemand(lowLoad, startTime), qt.Equals, 1)
+	c.Check(onDemand(reclaimed, startTime), qt.Equals, 3)
+	c.Check(onDemand(lowLoad, startTime.Add(reclaimWaveDuration-time.Second)), qt.Equals, 3)
+	c.Check(onDemand(lowLoad, startTime.Add(reclaimWaveDuration)), qt.Equals, 1)
 }
 
-// TestFluctuatingDemandDoesNotScaleDown: demand that swings within seconds takes no
-// server away that is wanted again before another one would have booted.
+// TestFluctuatingDemandDoesNotScaleDown guards against the removal of servers that are needed again
+// before a replacement could boot, when demand fluctuates within seconds.
 func TestFluctuatingDemandDoesNotScaleDown(t *testing.T) {
 	c := qt.New(t)
 	p := NewPlanner()
 	s := stateWithServers(1, 3)
 	s.Load = prefillLoad(3)
 	orderAndReply(p, s, startTime, ReplyAccepted)
-	fewer := 0
+	removals := 0
 	for tick := range 200 {
 		s.Load = prefillLoad(3)
 		if tick/20%2 == 1 {
@@ -185,17 +185,18 @@
 		}
 		for _, o := range orderAndReply(p, s, startTime.Add(time.Duration(tick)*planInterval), ReplyAccepted) {
 			if o.Reclaimable && o.Count < o.Present {
-				fewer++
+				removals++
 			}
 		}
 	}
-	c.Check(fewer, qt.Equals, 0)
+	c.Check(removals, qt.Equals, 0)
 }
 
-// planInterval is how often the plan is made.
+// planInterval is the interval between plans.
 const planInterval = 300 * time.Millisecond
 
-// TestServersStayUntilTheirReplacementsHaveBooted: where servers boot for long.
+// TestServersStayUntilTheirReplacementsHaveBooted guards against a capacity gap during replacement
+// if servers take long to boot.
 func TestServersStayUntilTheirReplacementsHaveBooted(t *testing.T) {
 	c := qt.New(t)
 	onDemand := func(boot time.Duration, reclaimable int) int {
@@ -213,8 +214,8 @@
 	c.Check(onDemand(4*time.Second, 0), qt.Equals, 3)
 }
 
-// TestReplacementsAreNotCountedInInitialFleet: servers found at the start and those that replace them are
-// there together for a while; the fleet found is no larger for that.
+// TestReplacementsAreNotCountedInInitialFleet guards against an initial fleet that is too large
+// because replaced servers and their replacements run at the same time for a while.
 func TestReplacementsAreNotCountedInInitialFleet(t *testing.T) {
 	c := qt.New(t)
 	p := NewPlanner()
@@ -230,7 +231,8 @@
 	c.Check(p.initialFleet, qt.Equals, 9)
 }
 
-// TestInitialFleetIsKeptWithoutReclaimable: servers on demand are all there is.
+// TestInitialFleetIsKeptWithoutReclaimable checks that the initial fleet is kept on demand if the
+// service uses no reclaimable servers.
 func TestInitialFleetIsKeptWithoutReclaimable(t *testing.T) {
 	c := qt.New(t)
 	s := stateWithServers(3, 0)
@@ -240,16 +242,16 @@
 	c.Check(reclaimable, qt.Equals, 0)
 }
 
-// TestServersAtTheirLimitsAreReplacedOnce guards against servers that count as whole while they take
-// few requests, and against orders without end for them.
+// TestServersAtTheirLimitsAreReplacedOnce guards against servers that count as full capacity
+// although they accept few requests, and against repeated orders to replace them.
 func TestServersAtTheirLimitsAreReplacedOnce(t *testing.T) {
 	c := qt.New(t)
 	orderedWith := func(atLimit int) (counts []int) {
 		p := plannerInReclaimWave(startTime)
-		there := 1
+		running := 1
 		for tick := range 200 {
 			at := startTime.Add(time.Duration(tick) * 300 * time.Millisecond)
-			s := stateWithServers(1, there)
+			s := stateWithServers(1, running)
 			s.Zones[0].ReclaimableAtLimit = atLimit
 			market := Market{s.Zones[0].Name, true}
 			for _, o := range orderAndReply(p, s, at, ReplyAccepted) {
@@ -257,13 +259,13 @@
 					counts = append(counts, o.Count)
 				}
 			}
-			if given := p.lastOrders[market]; given.accepted && at.Sub(given.placedAt) >= s.Scaling.BootTime {
-				there = given.count
+			if last := p.lastOrders[market]; last.accepted && at.Sub(last.placedAt) >= s.Scaling.BootTime {
+				running = last.count
 			}
 		}
 		return counts
 	}
-	c.Check(orderedWith(0), qt.HasLen, 0, qt.Commentf("what is there is what is wanted"))
+	c.Check(orderedWith(0), qt.HasLen, 0, qt.Commentf("the present servers match the target"))
 	c.Check(orderedWith(2), qt.DeepEquals, []int{3})
 }
 
