--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -1,5 +1,5 @@
-// Package demand measures what callers ask of each service. It does no I/O; the time
-// is passed in.
+// Package demand measures the load that callers put on each service. It does no I/O; the time is
+// passed in.
 package demand
 
 import (
@@ -9,48 +9,46 @@
 )
 
 const (
-	// defaultTimeConstant is the time after which a request has lost most of its weight (1 - 1/e)
-	// in the rates, until the boot time of servers is known.
+	// defaultTimeConstant is the time constant of the rates' exponential decay while the boot time
+	// of servers is unknown. After it, a request has lost most of its weight (1 - 1/e).
 	defaultTimeConstant = 3 * time.Second
-	// bootTimeShare is the part of a server's boot time that is remembered: a burst shows
-	// before a server has booted. minTimeConstant and maxTimeConstant bound it: shorter is noise,
-	// longer would miss a burst altogether.
+	// bootTimeShare is the time constant divided by the boot time. It is below one so that a burst
+	// shows in the rates before a server could boot. minTimeConstant and maxTimeConstant limit the
+	// time constant: shorter ones measure noise, longer ones miss bursts.
 	bootTimeShare   = 0.75
 	minTimeConstant = 2 * time.Second
 	maxTimeConstant = 6 * time.Second
 )
 
-// Load is how much of the engines of a service is asked for, by resource. For a
-// request it is in seconds of one engine; as a rate, a second, it is the number of
-// engines that are kept busy.
+// Load is the work for the engines of a service, by resource. For a request, the unit is seconds of
+// one engine. As a rate, per second, it is the number of engines that are kept busy.
 type Load struct {
-	// Prefill is the time for which an engine reads the prompt.
+	// Prefill is the time that an engine spends on the prompt.
 	Prefill float64 `json:"reading"`
-	// Batch is the time for which a place in the batch is held, as a part of all places
-	// of an engine.
+	// Batch is the time that a batch slot is occupied, as a fraction of all slots of an engine.
 	Batch float64 `json:"places"`
-	// Memory is the same for the memory of an engine.
+	// Memory is the time that KV cache memory is occupied, as a fraction of an engine's memory.
 	Memory float64 `json:"memory"`
 }
 
 // Add returns the sum of two loads.
-func (l Load) Add(more Load) Load {
-	return Load{Prefill: l.Prefill + more.Prefill, Batch: l.Batch + more.Batch, Memory: l.Memory + more.Memory}
+func (l Load) Add(other Load) Load {
+	return Load{Prefill: l.Prefill + other.Prefill, Batch: l.Batch + other.Batch, Memory: l.Memory + other.Memory}
 }
 
-// Scaled returns the load taken so many times.
+// Scaled returns the load multiplied by a factor.
 func (l Load) Scaled(factor float64) Load {
 	return Load{Prefill: factor * l.Prefill, Batch: factor * l.Batch, Memory: factor * l.Memory}
 }
 
-// Minus returns what is left of the load without a part of it, nothing negative.
+// Minus returns the load reduced by a part of it. No component becomes negative.
 func (l Load) Minus(part Load) Load {
 	return Load{
 		Prefill: max(0, l.Prefill-part.Prefill), Batch: max(0, l.Batch-part.Batch), Memory: max(0, l.Memory-part.Memory),
 	}
 }
 
-// Meter measures rates. It may be used by several goroutines.
+// Meter measures the load of each service. It is safe for concurrent use.
 type Meter struct {
 	mu       sync.Mutex
 	services map[string]*rateEstimate
@@ -62,7 +60,7 @@
 	timeConstant time.Duration
 }
 
-// timeConstantFor returns how long requests are remembered where servers boot for so long.
+// timeConstantFor returns the time constant for servers with the given boot time.
 func timeConstantFor(boot time.Duration) time.Duration {
 	if boot <= 0 {
 		return defaultTimeConstant
@@ -70,10 +68,10 @@
 	return max(minTimeConstant, min(maxTimeConstant, time.Duration(bootTimeShare*float64(boot))))
 }
 
-// NewMeter returns a meter that has seen nothing.
+// NewMeter returns a meter without observations.
 func NewMeter() *Meter { return &Meter{services: map[string]*rateEstimate{}} }
 
-// SetBootTime takes over how long servers of a service boot.
+// SetBootTime sets the boot time of a service's servers.
 func (m *Meter) SetBootTime(service string, boot time.Duration, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -82,7 +80,7 @@
 	g.timeConstant = timeConstantFor(boot)
 }
 
-// RecordRequest notes a request.
+// RecordRequest adds a request to the load of a service.
 func (m *Meter) RecordRequest(service string, work Load, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -91,7 +89,8 @@
 	g.rate = g.rate.Add(work.Scaled(1 / g.timeConstant.Seconds()))
 }
 
-// estimate returns the gauge of a service; the caller holds the lock.
+// estimate returns the rate estimate of a service and creates it if needed. The caller must hold
+// the lock.
 func (m *Meter) estimate(service string, now time.Time) *rateEstimate {
 	g := m.services[service]
 	if g == nil {
@@ -110,7 +109,7 @@
 	g.updatedAt = now
 }
 
-// Rates returns the load of every service.
+// Rates returns the current load of every service, in busy engines.
 func (m *Meter) Rates(now time.Time) map[string]Load {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/demand/demand_test.go
+++ b/internal/demand/demand_test.go
@@ -24,11 +24,11 @@
 	c.Check(later.Batch < 0.02, qt.IsTrue, qt.Commentf("%v", later))
 }
 
-// TestTimeConstantFollowsBootTime: a step of the demand is known sooner where servers boot
-// sooner, within bounds.
+// TestTimeConstantFollowsBootTime checks that a step of the demand shows earlier for services whose
+// servers boot faster, within the limits of the time constant.
 func TestTimeConstantFollowsBootTime(t *testing.T) {
 	c := qt.New(t)
-	known := func(boot time.Duration) float64 {
+	measured := func(boot time.Duration) float64 {
 		m := NewMeter()
 		now := time.Unix(1000, 0)
 		m.SetBootTime("s", boot, now)
@@ -38,7 +38,7 @@
 		}
 		return m.Rates(now)["s"].Prefill
 	}
-	c.Check(known(2*time.Second) > known(4*time.Second), qt.IsTrue)
-	c.Check(known(4*time.Second) > known(20*time.Second), qt.IsTrue)
-	c.Check(known(20*time.Second), qt.Equals, known(time.Hour))
+	c.Check(measured(2*time.Second) > measured(4*time.Second), qt.IsTrue)
+	c.Check(measured(4*time.Second) > measured(20*time.Second), qt.IsTrue)
+	c.Check(measured(20*time.Second), qt.Equals, measured(time.Hour))
 }
