--- a/internal/pace/engine.go
+++ b/internal/pace/engine.go
@@ -5,76 +5,78 @@
 	"time"
 )
 
-// Start values, for the first requests of a service that nobody has seen yet. They lie
-// in the middle, in logarithms, of what engines do; a request is not refused on them.
+// Initial coefficients, used for the first requests of a service without any observations. They are
+// near the geometric mean of what engines reach. No request is refused because of a prediction from
+// them.
 const (
-	// initialFirstEvent is the time to a first event besides reading, in seconds.
+	// initialFirstEvent is the time to the first event without prefill, in seconds.
 	initialFirstEvent = 0.04
-	// initialPrefillToken is the time to read a prompt token: engines read 5,000 to 400,000 a
-	// second.
+	// initialPrefillToken is the prefill time of one token, in seconds. Engines prefill 5,000 to
+	// 400,000 tokens per second.
 	initialPrefillToken = 1.0 / 50_000
-	// initialTokenPairs is the time for a million pairs of tokens: the tenth part of reading at
-	// 5,000 tokens.
+	// initialTokenPairs is the attention time for a million pairs of tokens, in seconds: a tenth of
+	// the prefill time at 5,000 tokens.
 	initialTokenPairs = 0.0004
 	// initialCopySetup is the time to set up a copy of prompt parts from another engine, and
-	// initialCopiedToken that for each token copied.
+	// initialCopiedToken the time for each copied token, in seconds.
 	initialCopySetup   = 0.01
 	initialCopiedToken = 1.0 / 500_000
-	// initialStep is the time for one more token of a stream, and initialStepPerStream what each
-	// other stream in the batch adds to it: steps take 3 to 30 ms.
+	// initialStep is the time for one more token of a stream, and initialStepPerStream the
+	// additional time for each stream in the batch, in seconds. Steps take 3 to 30 ms.
 	initialStep          = 0.01
 	initialStepPerStream = 0.00005
-	// initialOutputRatio is the number of tokens made for each that the caller allows, and
-	// initialHintRatio that for each that it expects.
+	// initialOutputRatio is the ratio of generated tokens to the allowed maximum, and
+	// initialHintRatio their ratio to the caller's own estimate.
 	initialOutputRatio = 0.3
 	initialHintRatio   = 1.0
 )
 
-// pairUnit is the unit of pairs of tokens.
+// pairUnit is the number of token pairs per unit of the pairs term.
 const pairUnit = 1e6
 
-// Work is what an attempt asks of an engine before its first event.
+// Work is the work of an engine for an attempt before its first event.
 type Work struct {
-	// PromptTokens is the size of the prompt, in tokens.
+	// PromptTokens is the size of the prompt.
 	PromptTokens int
-	// PrefillTokens are those of its tokens that the engine has to read, Copied those that it
-	// copies from another engine.
+	// PrefillTokens is the number of prompt tokens that the engine must compute. CopiedTokens is
+	// the number that it copies from another engine.
 	PrefillTokens, CopiedTokens int
 }
 
-// terms are what the time to the first event is made of. Each token that is read looks
-// at all before it, so that pairs of tokens count beside tokens.
+// terms returns the terms of the time to the first event. Each computed token attends to all tokens
+// before it, so that the time depends on pairs of tokens as well as on tokens.
 func (w Work) terms() Terms {
-	prompt, known := float64(w.PromptTokens), float64(max(0, w.PromptTokens-w.PrefillTokens))
-	terms := Terms{1, float64(w.PrefillTokens), (prompt*prompt - known*known) / pairUnit}
+	prompt, cached := float64(w.PromptTokens), float64(max(0, w.PromptTokens-w.PrefillTokens))
+	terms := Terms{1, float64(w.PrefillTokens), (prompt*prompt - cached*cached) / pairUnit}
 	if w.CopiedTokens > 0 {
 		terms[3], terms[4] = 1, float64(w.CopiedTokens)
 	}
 	return terms
 }
 
-// Engine is what was learned of the engines of one service. Times are in seconds.
+// Engine holds the learned speed of the engines of one service. Times are in seconds. It is not
+// safe for concurrent use.
 type Engine struct {
-	// First is the time to the first event on an engine without a queue.
+	// First predicts the time to the first event on an engine without a queue.
 	First Fit
-	// Step is the time for one more token of a stream, by the size of the batch.
+	// Step predicts the time for one more token of a stream from the batch size.
 	Step Fit
-	// OutputRatio is the number of tokens of an answer by what the caller allows, and Hinted by
-	// what it expects, where it says so.
+	// OutputRatio is the ratio of generated tokens to the allowed maximum. HintRatio is their ratio
+	// to the caller's estimate, for requests that have one.
 	OutputRatio Ratio
 	HintRatio   Ratio
 }
 
-// AnswerSize is what a caller says of the answer's size, in tokens.
+// AnswerSize is what the caller states about the size of the answer.
 type AnswerSize struct {
-	// MaxTokens is the most that the answer may have. Hinted is the caller's own estimate,
+	// MaxTokens is the largest allowed number of tokens. HintedTokens is the caller's own estimate,
 	// or zero.
 	MaxTokens, HintedTokens int
 }
 
-// NewEngine returns what is taken to hold before anything was seen. copyRate is in
-// tokens per second that an engine copies from another one by the speed of its link, or
-// zero where that is not known.
+// NewEngine returns an Engine with initial coefficients. copyRate is the rate at which an engine
+// copies prompt parts from another one, in tokens per second, as limited by its link. It is zero if
+// unknown.
 func NewEngine(copyRate float64) *Engine {
 	copied := initialCopiedToken
 	if copyRate > 0 {
@@ -87,27 +89,28 @@
 	}
 }
 
-// Calibrated reports whether the time to a first event can be relied on.
+// Calibrated reports whether there are enough observations to rely on the predicted time to the
+// first event.
 func (e *Engine) Calibrated() bool { return e.First.Calibrated() }
 
-// FirstEvent returns the time to the first event of an attempt on an engine without a
+// FirstEvent returns the predicted time to the first event of an attempt on an engine without a
 // queue.
 func (e *Engine) FirstEvent(w Work) time.Duration { return seconds(e.First.Predict(w.terms())) }
 
-// PrefillTime returns the time for which an attempt keeps the engine reading.
+// PrefillTime returns the predicted time that an engine spends on the prefill of an attempt.
 func (e *Engine) PrefillTime(w Work) time.Duration {
 	terms := w.terms()
 	terms[0], terms[3], terms[4] = 0, 0, 0
 	return seconds(e.First.Predict(terms))
 }
 
-// QueueTime returns the time for which prompts with so many tokens to be read keep the
-// engine reading, sizes unknown.
+// QueueTime returns the predicted prefill time of queued prompts with the given total of tokens.
+// Pairs of tokens are not counted, because the sizes of the prompts are unknown.
 func (e *Engine) QueueTime(tokens int) time.Duration {
 	return seconds(e.First.Predict(Terms{1: float64(tokens)}))
 }
 
-// OutputTokens returns the expected number of tokens of an answer.
+// OutputTokens returns the predicted number of tokens of an answer, at least one.
 func (e *Engine) OutputTokens(a AnswerSize) float64 {
 	if a.HintedTokens > 0 {
 		return max(1, float64(a.HintedTokens)*e.HintRatio.Value())
@@ -115,16 +118,16 @@
 	return max(1, float64(a.MaxTokens)*e.OutputRatio.Value())
 }
 
-// StreamTime returns how long a stream lasts after its first event in a batch of so many.
+// StreamTime returns the predicted duration of a stream after its first event, at a batch size.
 func (e *Engine) StreamTime(a AnswerSize, batch int) time.Duration {
 	return seconds(e.OutputTokens(a) * e.Step.Predict(Terms{1, float64(batch)}))
 }
 
-// ObserveFirst takes over how long a first event took.
+// ObserveFirst records the time to the first event of an attempt.
 func (e *Engine) ObserveFirst(w Work, took time.Duration) { e.First.Observe(took.Seconds(), w.terms()) }
 
-// ObserveStream takes over how long a whole stream of so many tokens lasted after its first
-// event.
+// ObserveStream records the duration of a complete stream after its first event, with its number of
+// tokens and the batch size.
 func (e *Engine) ObserveStream(tokens int, a AnswerSize, batch int, took time.Duration) {
 	e.OutputRatio.Observe(float64(tokens), float64(a.MaxTokens))
 	e.HintRatio.Observe(float64(tokens), float64(a.HintedTokens))
@@ -133,15 +136,16 @@
 	}
 }
 
-// MergeEstimates takes over what others have learned, where this daemon has seen too little.
+// MergeEstimates merges other daemons' estimates into the fits and ratios that have too few
+// observations of their own.
 func (e *Engine) MergeEstimates(others EngineEstimates) {
-	learn := func(own *Fit, others Estimate) {
+	merge := func(own *Fit, others Estimate) {
 		if !own.Calibrated() {
 			own.MergeEstimate(others)
 		}
 	}
-	learn(&e.First, others.First)
-	learn(&e.Step, others.Step)
+	merge(&e.First, others.First)
+	merge(&e.Step, others.Step)
 	if e.OutputRatio.Samples < calibrationSamples {
 		e.OutputRatio.MergeEstimate(others.OutputRatio)
 	}
@@ -150,7 +154,7 @@
 	}
 }
 
-// maxPrediction bounds a predicted time, so that no coefficient overflows a duration.
+// maxPrediction limits predicted times, so that no coefficient overflows a time.Duration.
 const maxPrediction = time.Hour
 
 func seconds(s float64) time.Duration {
--- a/internal/pace/figures.go
+++ b/internal/pace/figures.go
@@ -1,57 +1,57 @@
 package pace
 
-// Estimate are what a fit has learned, as daemons tell it to each other.
+// Estimate is the learned state of a Fit or Ratio, as exchanged between daemons.
 type Estimate struct {
 	Coefficients []float64 `json:"coefficients"`
-	// Samples is the number of observations, at most as many as a fit remembers.
+	// Samples is the number of observations, at most memorySamples for one daemon.
 	Samples float64 `json:"seen"`
 }
 
-// Estimate returns what the fit has learned.
+// Estimate returns the learned state of the fit. It has coefficients for the used terms only.
 func (f *Fit) Estimate() Estimate {
-	figures := Estimate{Samples: min(memorySamples, f.Samples)}
+	estimate := Estimate{Samples: min(memorySamples, f.Samples)}
 	for i, start := range f.initial {
 		if start > 0 {
-			figures.Coefficients = append(figures.Coefficients, f.Coefficients[i])
+			estimate.Coefficients = append(estimate.Coefficients, f.Coefficients[i])
 		}
 	}
-	return figures
+	return estimate
 }
 
-// Merge adds what another daemon has learned, weighed by what each has seen.
-func (f *Estimate) Merge(other Estimate) {
+// Merge merges another daemon's estimate, weighted by the numbers of samples.
+func (e *Estimate) Merge(other Estimate) {
 	if !usable(other.Samples) {
 		return
 	}
-	if f.Samples <= 0 {
-		f.Coefficients, f.Samples = append([]float64(nil), other.Coefficients...), other.Samples
+	if e.Samples <= 0 {
+		e.Coefficients, e.Samples = append([]float64(nil), other.Coefficients...), other.Samples
 		return
 	}
-	weight := other.Samples / (f.Samples + other.Samples)
-	for i := range min(len(f.Coefficients), len(other.Coefficients)) {
-		f.Coefficients[i] += weight * (other.Coefficients[i] - f.Coefficients[i])
+	weight := other.Samples / (e.Samples + other.Samples)
+	for i := range min(len(e.Coefficients), len(other.Coefficients)) {
+		e.Coefficients[i] += weight * (other.Coefficients[i] - e.Coefficients[i])
 	}
-	f.Samples += other.Samples
+	e.Samples += other.Samples
 }
 
-// EngineEstimates are what was learned of the engines of a service.
+// EngineEstimates holds what was learned about the engines of a service.
 type EngineEstimates struct {
 	First       Estimate `json:"first"`
 	Step        Estimate `json:"step"`
 	OutputRatio Estimate `json:"made"`
-	// HintRatio is like Made, for callers that say what they expect.
+	// HintRatio is like OutputRatio, for requests with the caller's own estimate.
 	HintRatio Estimate `json:"hinted"`
 }
 
-// Estimates returns what was learned.
+// Estimates returns what was learned about the engines.
 func (e *Engine) Estimates() EngineEstimates {
 	return EngineEstimates{First: e.First.Estimate(), Step: e.Step.Estimate(), OutputRatio: e.OutputRatio.Estimate(), HintRatio: e.HintRatio.Estimate()}
 }
 
-// Merge adds what another daemon has learned.
-func (f *EngineEstimates) Merge(other EngineEstimates) {
-	f.First.Merge(other.First)
-	f.Step.Merge(other.Step)
-	f.OutputRatio.Merge(other.OutputRatio)
-	f.HintRatio.Merge(other.HintRatio)
+// Merge merges another daemon's estimates.
+func (e *EngineEstimates) Merge(other EngineEstimates) {
+	e.First.Merge(other.First)
+	e.Step.Merge(other.Step)
+	e.OutputRatio.Merge(other.OutputRatio)
+	e.HintRatio.Merge(other.HintRatio)
 }
--- a/internal/pace/fit.go
+++ b/internal/pace/fit.go
@@ -1,69 +1,67 @@
-// Package pace learns how fast the model engines of a service work, from what a
-// daemon sees of its own attempts. No configuration states it, and no figure of one
-// user's machines holds for another's. It does no I/O and has no clock.
+// Package pace learns the speed of the model engines of a service from a daemon's own attempts. The
+// speed is not configured, because it differs between deployments. The package does no I/O and has
+// no clock.
 package pace
 
 import "math"
 
-// maxTerms is the largest number of terms that a Fit sums up.
+// maxTerms is the largest number of terms of a Fit.
 const maxTerms = 5
 
-// Terms are the known quantities that a prediction is made from, such as the number of
-// tokens to read.
+// Terms are the known quantities of a prediction, such as the number of tokens to prefill.
 type Terms [maxTerms]float64
 
-// Coefficients are counted in units of their start values.
+// Parameters of the fits. Coefficients are measured in units of their initial values.
 const (
-	// initialVariance is how little a start value is relied on: the slowest engines differ
-	// from it by ten times and more.
+	// initialVariance is the variance of an initial coefficient. The slowest engines differ from
+	// the initial values by a factor of ten and more.
 	initialVariance = 30.0
-	// minCoefficient and most bound a coefficient. Engines that read 400,000 tokens a second are
-	// at an eighth, those that read 3,000 at 16.
+	// minCoefficient and maxCoefficient limit a coefficient. Engines that prefill 400,000 tokens
+	// per second are at an eighth, those that prefill 3,000 are at 16.
 	minCoefficient, maxCoefficient = 0.01, 100.0
-	// relativeNoise is that of one observation around the truth, as a part of it: steps of
-	// other requests and a queue that nobody told of make a quarter.
+	// relativeNoise is the standard deviation of an observation, relative to the true value. Steps
+	// of other requests and unreported queues add up to a quarter.
 	relativeNoise = 0.25
-	// huberThreshold is the distance from what was predicted, as a part of the larger of
-	// the two, beyond which an observation weighs no more than at it. A server that is
-	// always far off and serves one request in ten moves a fit by some hundredths, in the
-	// extremes by less than a quarter.
+	// huberThreshold is the relative error, as a part of the larger of prediction and observation,
+	// beyond which the weight of an observation decreases. With it, a server that is always far off
+	// and serves one request in ten changes a fit by some hundredths, and by less than a quarter in
+	// extreme cases.
 	huberThreshold = 0.3
-	// memorySamples is the number of observations after which one has lost most of its weight
-	// (1 - 1/e): a daemon that gets 20 requests a second follows engines that are
-	// replaced within a minute, and noise of a quarter stays below a twentieth.
+	// memorySamples is the number of observations after which an observation has lost most of its
+	// weight (1 - 1/e). A daemon with 20 requests per second adapts to replaced engines within a
+	// minute, and noise of a quarter is averaged to less than a twentieth.
 	memorySamples = 1000.0
-	// calibrationSamples is the number of observations after which a fit is relied on: some
-	// for each term, so that one odd server does not make up all of them.
+	// calibrationSamples is the number of observations from which a fit is relied on. It allows for
+	// several observations of each term, so that they do not all come from one abnormal server.
 	calibrationSamples = 24
 )
 
-// Fit predicts a positive quantity as a sum of known terms with learned coefficients:
-// recursive least squares of relative errors, with Huber's weights and coefficients
-// that stay positive.
+// Fit predicts a positive quantity as a linear combination of known terms. The coefficients are
+// learned by recursive least squares on relative errors with Huber weights, and stay positive. A
+// Fit is not safe for concurrent use.
 type Fit struct {
-	// Coefficients belong to the terms in order. Those of terms that are not used are
-	// zero.
+	// Coefficients are in the order of the terms. Those of unused terms are zero.
 	Coefficients Terms
 	// Samples is the number of observations.
 	Samples float64
-	// initial are the coefficients that the fit began with.
+	// initial holds the initial coefficients.
 	initial Terms
-	// covariance is that of the coefficients' errors, in units of the start values.
+	// covariance is the covariance matrix of the coefficients, in units of the initial values.
 	covariance [maxTerms][maxTerms]float64
 }
 
-// NewFit returns a fit with coefficients to begin with.
-func NewFit(start ...float64) Fit {
+// NewFit returns a fit with the given initial coefficients.
+func NewFit(initial ...float64) Fit {
 	var f Fit
-	copy(f.initial[:], start)
+	copy(f.initial[:], initial)
 	f.Coefficients = f.initial
-	for i := range start {
+	for i := range initial {
 		f.covariance[i][i] = initialVariance
 	}
 	return f
 }
 
-// Calibrated reports whether the fit has seen enough to be relied on.
+// Calibrated reports whether the fit has enough observations to be relied on.
 func (f *Fit) Calibrated() bool { return f.Samples >= calibrationSamples }
 
 // Predict returns the predicted quantity.
@@ -75,31 +73,33 @@
 	return sum
 }
 
-// Observe takes over what a quantity was.
+// Observe updates the coefficients with an observed value. Values that are not positive are
+// ignored.
 func (f *Fit) Observe(value float64, terms Terms) {
 	predicted := f.Predict(terms)
 	if value <= 0 || predicted <= 0 {
 		return
 	}
 	scale := max(value, predicted)
-	off := math.Abs(value-predicted) / scale
+	deviation := math.Abs(value-predicted) / scale
 	noise := relativeNoise * scale
-	noise *= noise * max(1, off/huberThreshold)
-	var slopes Terms
+	noise *= noise * max(1, deviation/huberThreshold)
+	var gradient Terms
 	for i, t := range terms {
-		slopes[i] = t * f.initial[i]
+		gradient[i] = t * f.initial[i]
 	}
-	f.forget(slopes)
-	f.update(slopes, value-predicted, noise)
+	f.forget(gradient)
+	f.update(gradient, value-predicted, noise)
 	f.Samples++
 }
 
-// forget widens the errors of the terms that take part in an observation.
-func (f *Fit) forget(slopes Terms) {
+// forget increases the variance of the terms that take part in an observation, up to
+// initialVariance.
+func (f *Fit) forget(gradient Terms) {
 	const growth = 1 + 1/memorySamples
-	for i := range slopes {
-		for j := range slopes {
-			if slopes[i] > 0 && slopes[j] > 0 {
+	for i := range gradient {
+		for j := range gradient {
+			if gradient[i] > 0 && gradient[j] > 0 {
 				f.covariance[i][j] *= growth
 			}
 		}
@@ -109,42 +109,41 @@
 	}
 }
 
-// scaleError scales the errors of one coefficient and keeps the correlations.
-func (f *Fit) scaleError(i int, by float64) {
+// scaleError scales the standard deviation of one coefficient and keeps its correlations.
+func (f *Fit) scaleError(i int, factor float64) {
 	for j := range f.covariance {
-		f.covariance[i][j] *= by
-		f.covariance[j][i] *= by
+		f.covariance[i][j] *= factor
+		f.covariance[j][i] *= factor
 	}
 }
 
-// update is the step of recursive least squares.
-func (f *Fit) update(slopes Terms, off, noise float64) {
+// update performs the update step of recursive least squares.
+func (f *Fit) update(gradient Terms, residual, noise float64) {
 	var gain Terms
 	sum := noise
 	for i := range gain {
-		for j, slope := range slopes {
-			gain[i] += f.covariance[i][j] * slope
+		for j, derivative := range gradient {
+			gain[i] += f.covariance[i][j] * derivative
 		}
-		sum += gain[i] * slopes[i]
+		sum += gain[i] * gradient[i]
 	}
 	if sum <= 0 {
 		return
 	}
 	for i := range gain {
-		f.setCoefficient(i, f.Coefficients[i]+f.initial[i]*gain[i]/sum*off)
+		f.setCoefficient(i, f.Coefficients[i]+f.initial[i]*gain[i]/sum*residual)
 		for j := range gain {
 			f.covariance[i][j] -= gain[i] * gain[j] / sum
 		}
 	}
 }
 
-// setCoefficient sets a coefficient within its bounds.
-func (f *Fit) setCoefficient(i int, to float64) {
-	f.Coefficients[i] = max(minCoefficient*f.initial[i], min(maxCoefficient*f.initial[i], to))
+// setCoefficient sets a coefficient, limited to its range.
+func (f *Fit) setCoefficient(i int, value float64) {
+	f.Coefficients[i] = max(minCoefficient*f.initial[i], min(maxCoefficient*f.initial[i], value))
 }
 
-// MergeEstimate takes over coefficients that others have learned, with the weight of what
-// they have seen against what this fit has.
+// MergeEstimate merges coefficients learned by other daemons, weighted by the numbers of samples.
 func (f *Fit) MergeEstimate(others Estimate) {
 	if !usable(others.Samples) {
 		return
@@ -160,9 +159,9 @@
 	f.Samples = min(memorySamples, f.Samples+others.Samples)
 }
 
-// usable reports whether a figure that another process told can be worked with.
-func usable(figure float64) bool { return figure > 0 && !math.IsInf(figure, 1) }
+// usable reports whether a number reported by another process is positive and finite.
+func usable(number float64) bool { return number > 0 && !math.IsInf(number, 1) }
 
-// minVarianceFactor is the part of the errors that is left at least when others' coefficients
-// are taken over: their engines may not be those of today.
+// minVarianceFactor is the least factor by which merging an estimate scales a variance. Some
+// variance must remain because the engines may have changed since the estimate was made.
 const minVarianceFactor = 0.02
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -13,25 +13,25 @@
 	_ "github.com/plankridge/plankridge/internal/standin/fixedseed"
 )
 
-// Randomised tests take a fixed seed unless the command line gives another.
+// Property tests use a fixed seed unless the command line sets another.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// trueEngine are an engine's true figures.
+// trueEngine holds the true coefficients of an engine.
 type trueEngine struct {
 	first, token, pair float64
 	step, perStream    float64
 }
 
 func drawEngine(t *rapid.T) trueEngine {
-	logarithmic := func(low, high float64, name string) float64 {
+	logUniform := func(low, high float64, name string) float64 {
 		return math.Exp(rapid.Float64Range(math.Log(low), math.Log(high)).Draw(t, name))
 	}
-	token := 1 / logarithmic(5_000, 400_000, "rate")
+	token := 1 / logUniform(5_000, 400_000, "rate")
 	return trueEngine{
-		first: logarithmic(0.005, 0.2, "first"), token: token,
-		// Pairs take as long as tokens in a prompt of this size.
-		pair: token * pairUnit / logarithmic(15_000, 100_000, "even"),
-		step: logarithmic(0.002, 0.03, "step"), perStream: logarithmic(0.00001, 0.0005, "beside"),
+		first: logUniform(0.005, 0.2, "first"), token: token,
+		// At this prompt size, pairs of tokens take as long as tokens.
+		pair: token * pairUnit / logUniform(15_000, 100_000, "even"),
+		step: logUniform(0.002, 0.03, "step"), perStream: logUniform(0.00001, 0.0005, "beside"),
 	}
 }
 
@@ -40,22 +40,23 @@
 	return m.first*terms[0] + m.token*terms[1] + m.pair*terms[2]
 }
 
-// drawWork draws prompts whose sizes differ a hundredfold, some of them cached in part.
+// drawWork draws prompts whose sizes differ by a factor of up to a hundred, some of them partly
+// cached.
 func drawWork(random *rand.Rand) Work {
 	prompt := int(2500 * math.Exp(1.2*random.NormFloat64()))
 	prompt = max(50, min(60_000, prompt))
 	return Work{PromptTokens: prompt, PrefillTokens: max(1, prompt-random.IntN(prompt))}
 }
 
-// drawNoise is what a run takes beside its own work.
+// drawNoise returns a random factor for the duration of a run.
 func drawNoise(random *rand.Rand) float64 { return math.Exp(0.15 * random.NormFloat64()) }
 
-// convergedSamples is the number of requests after which a fit is held to its promise: five
-// seconds of the smallest of the users' deployments.
+// convergedSamples is the number of observations from which the predictions must be accurate. The
+// smallest deployment reaches it within five seconds.
 const convergedSamples = 800
 
-// TestFirstEventIsLearned: whatever the engine, what is predicted is within a tenth of
-// the truth for short, middling and long prompts.
+// TestFirstEventIsLearned checks that the predicted time to the first event is within a tenth of
+// the true one for short, medium and long prompts, for any engine.
 func TestFirstEventIsLearned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := drawEngine(t)
@@ -68,7 +69,7 @@
 		for _, size := range []int{300, 3000, 10_000} {
 			w := Work{PromptTokens: size, PrefillTokens: size}
 			got, want := e.FirstEvent(w).Seconds(), model.firstEvent(w)
-			if off := math.Abs(math.Log(got / want)); off > 0.1 {
+			if deviation := math.Abs(math.Log(got / want)); deviation > 0.1 {
 				t.Fatalf("%d tokens: %.4f s predicted, %.4f s true, engine %+v, learned %v", size, got, want, model, e.First.Coefficients)
 			}
 		}
@@ -87,33 +88,33 @@
 		}
 		got := e.StreamTime(AnswerSize{MaxTokens: 200}, 12).Seconds()
 		want := 100 * (model.step + model.perStream*12)
-		if off := math.Abs(math.Log(got / want)); off > 0.1 {
+		if deviation := math.Abs(math.Log(got / want)); deviation > 0.1 {
 			t.Fatalf("%.4f s predicted, %.4f s true", got, want)
 		}
 	})
 }
 
-// TestLiarMovesLittle: a server that is far off and serves a tenth of the requests
-// moves what is predicted for all by less than a quarter.
+// TestLiarMovesLittle guards against outliers: a server that is far off and serves a tenth of the
+// requests must change the predictions by less than a quarter.
 func TestLiarMovesLittle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := drawEngine(t)
-		lie := rapid.SampledFrom([]float64{0.001, 0.1, 8, 1000}).Draw(t, "lie")
+		distortion := rapid.SampledFrom([]float64{0.001, 0.1, 8, 1000}).Draw(t, "lie")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		honest, mixed := NewEngine(0), NewEngine(0)
+		clean, mixed := NewEngine(0), NewEngine(0)
 		for i := range 2 * convergedSamples {
 			w := drawWork(random)
 			took := model.firstEvent(w) * drawNoise(random)
-			honest.ObserveFirst(w, seconds(took))
+			clean.ObserveFirst(w, seconds(took))
 			if i%10 == 0 {
-				took *= lie
+				took *= distortion
 			}
 			mixed.ObserveFirst(w, seconds(took))
 		}
 		w := Work{PromptTokens: 3000, PrefillTokens: 3000}
-		off := math.Abs(math.Log(mixed.FirstEvent(w).Seconds() / honest.FirstEvent(w).Seconds()))
-		if off > 0.25 {
-			t.Fatalf("moved by %.2f: %v, honest %v, true %+v", off, mixed.First.Coefficients, honest.First.Coefficients, model)
+		deviation := math.Abs(math.Log(mixed.FirstEvent(w).Seconds() / clean.FirstEvent(w).Seconds()))
+		if deviation > 0.25 {
+			t.Fatalf("moved by %.2f: %v, without outliers %v, true %+v", deviation, mixed.First.Coefficients, clean.First.Coefficients, model)
 		}
 	})
 }
@@ -128,8 +129,8 @@
 	c.Check(e.Calibrated(), qt.IsTrue)
 }
 
-// TestMergeWeighsBySamples: one that has just started takes over what others know,
-// one that has seen as much as they goes half the way.
+// TestMergeWeighsBySamples checks that a fit without observations adopts the estimate of others,
+// and that one with as many observations moves halfway.
 func TestMergeWeighsBySamples(t *testing.T) {
 	c := qt.New(t)
 	others := Estimate{Coefficients: []float64{0.4}, Samples: 100}
@@ -137,10 +138,10 @@
 	fresh.MergeEstimate(others)
 	c.Check(math.Abs(fresh.Coefficients[0]-0.4) < 1e-9, qt.IsTrue)
 	c.Check(fresh.Calibrated(), qt.IsTrue)
-	settled := NewFit(0.1)
-	settled.Samples = 100
-	settled.MergeEstimate(others)
-	c.Check(math.Abs(settled.Coefficients[0]-0.25) < 1e-9, qt.IsTrue, qt.Commentf("%v", settled.Coefficients))
+	converged := NewFit(0.1)
+	converged.Samples = 100
+	converged.MergeEstimate(others)
+	c.Check(math.Abs(converged.Coefficients[0]-0.25) < 1e-9, qt.IsTrue, qt.Commentf("%v", converged.Coefficients))
 }
 
 func TestInvalidEstimatesAreIgnored(t *testing.T) {
@@ -164,7 +165,8 @@
 	c.Check(e.Step, qt.Equals, before.Step)
 }
 
-// TestRatioIsOfTheSums: uneven answers add up to the right total.
+// TestRatioIsOfTheSums checks that predictions add up to the right total although answers differ
+// widely in size.
 func TestRatioIsOfTheSums(t *testing.T) {
 	c := qt.New(t)
 	r := NewRatio(1)
@@ -176,8 +178,8 @@
 		made, allowed = made+tokens, allowed+limit
 		r.Observe(tokens, limit)
 	}
-	off := math.Abs(r.Value()/(made/allowed) - 1)
-	c.Check(off < 0.05, qt.IsTrue, qt.Commentf("%v of %v", r.Value(), made/allowed))
+	deviation := math.Abs(r.Value()/(made/allowed) - 1)
+	c.Check(deviation < 0.05, qt.IsTrue, qt.Commentf("%v of %v", r.Value(), made/allowed))
 	r.Observe(1e12, 10)
 	c.Check(r.Value() < 1.1*made/allowed, qt.IsTrue)
 }
--- a/internal/pace/ratio.go
+++ b/internal/pace/ratio.go
@@ -1,7 +1,7 @@
 package pace
 
-// Ratio is the learned mean of one quantity by another one, taken over their sums: what
-// is planned with it adds up to the right total, however uneven single ones are.
+// Ratio is the learned ratio of two quantities, computed from their sums. Predictions with it add
+// up to the right total even if individual ratios differ widely.
 type Ratio struct {
 	// Samples is the number of observations.
 	Samples           float64
@@ -9,10 +9,10 @@
 	initial           float64
 }
 
-// NewRatio returns a ratio with a value to begin with.
-func NewRatio(start float64) Ratio { return Ratio{initial: start} }
+// NewRatio returns a ratio with an initial value.
+func NewRatio(initial float64) Ratio { return Ratio{initial: initial} }
 
-// Value returns the ratio as far as it is known.
+// Value returns the current ratio, or the initial value without observations.
 func (r *Ratio) Value() float64 {
 	if r.baseSum <= 0 {
 		return r.initial
@@ -20,28 +20,28 @@
 	return r.valueSum / r.baseSum
 }
 
-// Observe takes over a value and what it is measured by. Values beyond it count as much
-// as it, so that one odd value moves the mean by a bound.
-func (r *Ratio) Observe(value, of float64) {
-	if value <= 0 || of <= 0 {
+// Observe records a value and its base. A value above maxRatio times its base counts as that
+// product, which limits the effect of an outlier. Values that are not positive are ignored.
+func (r *Ratio) Observe(value, base float64) {
+	if value <= 0 || base <= 0 {
 		return
 	}
-	keep := 1 - 1/memorySamples
-	r.valueSum = keep*r.valueSum + min(value, maxRatio*of)
-	r.baseSum = keep*r.baseSum + of
+	decay := 1 - 1/memorySamples
+	r.valueSum = decay*r.valueSum + min(value, maxRatio*base)
+	r.baseSum = decay*r.baseSum + base
 	r.Samples = min(memorySamples, r.Samples+1)
 }
 
-// maxRatio bounds a value by what it is measured by: callers' estimates are right in the
-// middle and off by some times.
+// maxRatio limits the ratio of one observation. Callers' estimates are right on average but may be
+// off by several times.
 const maxRatio = 10
 
-// Estimate returns what was learned.
+// Estimate returns the learned state of the ratio.
 func (r *Ratio) Estimate() Estimate {
 	return Estimate{Coefficients: []float64{r.Value()}, Samples: r.Samples}
 }
 
-// MergeEstimate takes over what others have learned.
+// MergeEstimate merges a ratio learned by other daemons, weighted by the numbers of samples.
 func (r *Ratio) MergeEstimate(others Estimate) {
 	if !usable(others.Samples) || len(others.Coefficients) == 0 || !usable(others.Coefficients[0]) {
 		return
