--- a/internal/firsttry/firsttry.go
+++ b/internal/firsttry/firsttry.go
@@ -1,6 +1,6 @@
-// Package firsttry tells from the time limits that callers state how long ago a caller
-// first tried. A caller that comes again has less time left than those that come for
-// the first time, and these all state the same. It does no I/O and has no clock.
+// Package firsttry infers from the timeouts of requests how long ago their callers first tried.
+// Callers send the same timeout with each first try. A caller that retries has less time left and
+// sends a shorter one. The package does no I/O and has no clock.
 package firsttry
 
 import (
@@ -10,99 +10,99 @@
 )
 
 const (
-	// timeoutResolution rounds limits, so that those of first tries are alike.
+	// timeoutResolution is the resolution to which timeouts are rounded, so that those of first
+	// tries are equal.
 	timeoutResolution = 10 * time.Millisecond
-	// maxTrackedTimeouts bounds the limits that are told apart on one route: those of callers that
-	// come again are spread over all that is below the usual one.
+	// maxTrackedTimeouts limits the number of distinct timeouts tracked for one route. The timeouts
+	// of retries spread over the whole range below the usual one.
 	maxTrackedTimeouts = 32
-	// decayFactor is the weight that is left of a request with the next one: some hundred
-	// requests are remembered, so that a new usual limit is found within seconds.
+	// decayFactor is the factor by which each request reduces the weight of the earlier ones. The
+	// weights cover a few hundred requests, so that a new usual timeout is detected within seconds.
 	decayFactor = 0.995
-	// minUsualShare is the share of the requests that state the usual limit, below which none
-	// is taken for usual: most callers do not come again.
+	// minUsualShare is the least share of the requests that must have the most frequent timeout for
+	// it to count as the usual one. Most callers do not retry.
 	minUsualShare = 0.3
-	// minTotalWeight is the weight of requests before which nothing is concluded.
+	// minTotalWeight is the total weight of requests below which no usual timeout is inferred.
 	minTotalWeight = 10.0
-	// restoredWeight is the weight of what was known before a start.
+	// restoredWeight is the weight of a usual timeout that was restored after a start.
 	restoredWeight = 50.0
 )
 
-// CallerTimeouts learns the usual time limit of each route. It may be used by several
-// goroutines.
+// CallerTimeouts learns the usual caller timeout of each route. It is safe for concurrent use.
 type CallerTimeouts struct {
 	mu     sync.Mutex
 	routes map[string]*routeTimeouts
 }
 
-// routeTimeouts holds how often each limit was stated, by weight.
+// routeTimeouts holds the weights of the timeouts of one route.
 type routeTimeouts struct {
 	weights     map[time.Duration]float64
 	totalWeight float64
 }
 
-// NewCallerTimeouts returns limits that have seen nothing.
+// NewCallerTimeouts returns CallerTimeouts without observations.
 func NewCallerTimeouts() *CallerTimeouts { return &CallerTimeouts{routes: map[string]*routeTimeouts{}} }
 
-// Age takes over the time limit of a request and returns how long ago its caller first
-// tried, zero where that is not known.
-func (l *CallerTimeouts) Age(name string, limit time.Duration) time.Duration {
-	if limit <= 0 {
+// Age records the timeout of a request and returns how long ago its caller first tried. It returns
+// zero if this is unknown.
+func (c *CallerTimeouts) Age(routeName string, timeout time.Duration) time.Duration {
+	if timeout <= 0 {
 		return 0
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	r := l.routes[name]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.routes[routeName]
 	if r == nil {
 		r = &routeTimeouts{weights: map[time.Duration]float64{}}
-		l.routes[name] = r
+		c.routes[routeName] = r
 	}
-	r.add(limit.Round(timeoutResolution), 1)
+	r.add(timeout.Round(timeoutResolution), 1)
 	usual, known := r.usual()
 	if !known {
 		return 0
 	}
-	return max(0, usual-limit.Round(timeoutResolution))
+	return max(0, usual-timeout.Round(timeoutResolution))
 }
 
-func (r *routeTimeouts) add(limit time.Duration, weight float64) {
-	for known := range r.weights {
-		r.weights[known] *= decayFactor
+func (r *routeTimeouts) add(timeout time.Duration, weight float64) {
+	for tracked := range r.weights {
+		r.weights[tracked] *= decayFactor
 	}
 	r.totalWeight = decayFactor*r.totalWeight + weight
-	r.weights[limit] += weight
+	r.weights[timeout] += weight
 	if len(r.weights) > maxTrackedTimeouts {
-		r.evictLightest(limit)
+		r.evictLightest(timeout)
 	}
 }
 
-// evictLightest forgets the limit with the least weight, but not the one just seen.
-func (r *routeTimeouts) evictLightest(but time.Duration) {
+// evictLightest removes the timeout with the least weight, except for the one just added.
+func (r *routeTimeouts) evictLightest(keep time.Duration) {
 	least, found := time.Duration(0), false
-	for limit, weight := range r.weights {
-		if limit != but && (!found || weight < r.weights[least]) {
-			least, found = limit, true
+	for timeout, weight := range r.weights {
+		if timeout != keep && (!found || weight < r.weights[least]) {
+			least, found = timeout, true
 		}
 	}
 	delete(r.weights, least)
 }
 
-// usual returns the limit that is stated most often.
+// usual returns the timeout with the highest weight, and whether it counts as the usual one.
 func (r *routeTimeouts) usual() (time.Duration, bool) {
 	usual, weight := time.Duration(0), 0.0
-	for limit, w := range r.weights {
-		if w > weight || (w == weight && limit > usual) {
-			usual, weight = limit, w
+	for timeout, w := range r.weights {
+		if w > weight || (w == weight && timeout > usual) {
+			usual, weight = timeout, w
 		}
 	}
 	return usual, r.totalWeight >= minTotalWeight && weight >= minUsualShare*r.totalWeight
 }
 
-// Usual returns the usual limits as far as they are known, by route.
-func (l *CallerTimeouts) Usual() map[string]time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// Usual returns the usual timeouts that are known, by route.
+func (c *CallerTimeouts) Usual() map[string]time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	known := map[string]time.Duration{}
-	for name, r := range l.routes {
+	for name, r := range c.routes {
 		if usual, ok := r.usual(); ok {
 			known[name] = usual
 		}
@@ -110,14 +110,14 @@
 	return known
 }
 
-// Restore takes over what was known before a start, for routes that nothing is known of.
-func (l *CallerTimeouts) Restore(usual map[string]time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for name, limit := range maps.All(usual) {
-		if l.routes[name] == nil && limit > 0 {
-			l.routes[name] = &routeTimeouts{weights: map[time.Duration]float64{}}
-			l.routes[name].add(limit.Round(timeoutResolution), restoredWeight)
+// Restore adds usual timeouts saved before a restart, for routes without observations.
+func (c *CallerTimeouts) Restore(usual map[string]time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for name, timeout := range maps.All(usual) {
+		if c.routes[name] == nil && timeout > 0 {
+			c.routes[name] = &routeTimeouts{weights: map[time.Duration]float64{}}
+			c.routes[name].add(timeout.Round(timeoutResolution), restoredWeight)
 		}
 	}
 }
--- a/internal/firsttry/firsttry_test.go
+++ b/internal/firsttry/firsttry_test.go
@@ -10,62 +10,62 @@
 
 const usual = 12 * time.Second
 
-// TestAgeOfCallersThatComeAgain: among first tries, those that come again are told by the
-// time that they have left.
+// TestAgeOfCallersThatComeAgain checks that retries among first tries are recognized by their
+// shorter timeouts.
 func TestAgeOfCallersThatComeAgain(t *testing.T) {
 	c := qt.New(t)
-	l := NewCallerTimeouts()
+	timeouts := NewCallerTimeouts()
 	random := rand.New(rand.NewPCG(1, 1))
 	for i := range 500 {
-		limit, age := usual, time.Duration(0)
+		timeout, age := usual, time.Duration(0)
 		if random.Float64() < 0.3 {
 			age = time.Duration(50+random.IntN(3000)) * time.Millisecond
-			limit -= age
+			timeout -= age
 		}
-		got := l.Age("r", limit)
+		got := timeouts.Age("r", timeout)
 		if i > 50 {
 			c.Check((got-age).Abs() <= timeoutResolution, qt.IsTrue, qt.Commentf("%v for %v", got, age))
 		}
 	}
-	c.Check(l.Usual(), qt.DeepEquals, map[string]time.Duration{"r": usual})
+	c.Check(timeouts.Usual(), qt.DeepEquals, map[string]time.Duration{"r": usual})
 }
 
-// TestNothingIsConcludedWhereLimitsDiffer: callers that each state their own limit are not
-// taken for such that come again.
+// TestNothingIsConcludedWhereLimitsDiffer guards against callers with individual timeouts that are
+// mistaken for callers that retry.
 func TestNothingIsConcludedWhereLimitsDiffer(t *testing.T) {
 	c := qt.New(t)
-	l := NewCallerTimeouts()
+	timeouts := NewCallerTimeouts()
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 1000 {
-		c.Check(l.Age("r", time.Duration(1+random.IntN(10_000))*time.Millisecond), qt.Equals, time.Duration(0))
+		c.Check(timeouts.Age("r", time.Duration(1+random.IntN(10_000))*time.Millisecond), qt.Equals, time.Duration(0))
 	}
-	c.Check(len(l.routes["r"].weights) <= maxTrackedTimeouts, qt.IsTrue)
+	c.Check(len(timeouts.routes["r"].weights) <= maxTrackedTimeouts, qt.IsTrue)
 }
 
 func TestLongerTimeoutHasNoAge(t *testing.T) {
 	c := qt.New(t)
-	l := NewCallerTimeouts()
+	timeouts := NewCallerTimeouts()
 	for range 100 {
-		l.Age("r", usual)
+		timeouts.Age("r", usual)
 	}
-	c.Check(l.Age("r", 2*usual), qt.Equals, time.Duration(0))
-	c.Check(l.Age("r", 0), qt.Equals, time.Duration(0))
-	c.Check(l.Age("other", usual), qt.Equals, time.Duration(0))
+	c.Check(timeouts.Age("r", 2*usual), qt.Equals, time.Duration(0))
+	c.Check(timeouts.Age("r", 0), qt.Equals, time.Duration(0))
+	c.Check(timeouts.Age("other", usual), qt.Equals, time.Duration(0))
 }
 
-// TestRestoredTimeoutsAreUsed: right after the death of all, most requests are of
-// callers that come again.
+// TestRestoredTimeoutsAreUsed guards against wrong ages after all daemons have died, when most
+// requests are retries.
 func TestRestoredTimeoutsAreUsed(t *testing.T) {
 	c := qt.New(t)
-	l := NewCallerTimeouts()
-	l.Restore(map[string]time.Duration{"r": usual})
+	timeouts := NewCallerTimeouts()
+	timeouts.Restore(map[string]time.Duration{"r": usual})
 	for i := range 40 {
 		age := time.Duration(400+i*30) * time.Millisecond
-		c.Check(l.Age("r", usual-age), qt.Equals, age)
+		c.Check(timeouts.Age("r", usual-age), qt.Equals, age)
 	}
-	// A new usual limit is found.
+	// A new usual timeout is detected.
 	for range 300 {
-		l.Age("r", usual/2)
+		timeouts.Age("r", usual/2)
 	}
-	c.Check(l.Age("r", usual/2-time.Second), qt.Equals, time.Second)
+	c.Check(timeouts.Age("r", usual/2-time.Second), qt.Equals, time.Second)
 }
