--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -140,8 +140,7 @@
 
 // KeyRef identifies an idempotency key without revealing it.
 type KeyRef struct {
-	// Zone and Slot are the home of the key: the availability zone and the slot whose daemon
-	// records it.
+	// Zone and Slot are the home of the key: its availability zone and its slot in that zone.
 	Zone string `json:"zone"`
 	Slot int    `json:"slot"`
 	// Hash is the digest of the key and its scope: workspace, service and path.
