--- a/internal/capacity/planner.go
+++ b/internal/capacity/planner.go
@@ -97,8 +97,8 @@
 // heldCount is the number of servers ordered in a market, and the last time at which the plan
 // wanted at least that many.
 type heldCount struct {
-	count int
-	since time.Time
+	count        int
+	lastWantedAt time.Time
 }
 
 // NewPlanner returns a planner without earlier orders.
@@ -242,11 +242,11 @@
 	if !known && p.tookOver && order.Present > order.Count {
 		// The reason for the earlier lease holder's surplus is unknown. It may substitute for
 		// servers of a zone that has no reclaimable ones, which shows only when they are ordered.
-		held, known = heldCount{count: order.Present, since: now}, true
+		held, known = heldCount{count: order.Present, lastWantedAt: now}, true
 		p.heldCounts[order.Market] = held
 	}
-	if !known || order.Count >= held.count || now.Sub(held.since) >= delay {
-		p.heldCounts[order.Market] = heldCount{count: order.Count, since: now}
+	if !known || order.Count >= held.count || now.Sub(held.lastWantedAt) >= delay {
+		p.heldCounts[order.Market] = heldCount{count: order.Count, lastWantedAt: now}
 		return order.Count
 	}
 	return held.count
