--- a/internal/capacity/planner_test.go
+++ b/internal/capacity/planner_test.go
@@ -80,19 +80,19 @@
 func TestInitialFleetIsKeptUntilDemandIsKnown(t *testing.T) {
 	c := qt.New(t)
 	p := plannerInReclaimWave(startTime)
-	found := stateWithServers(3, 0)
-	found.Load = prefillLoad(0)
-	p.Orders(found, startTime.Add(-time.Second))
+	initial := stateWithServers(3, 0)
+	initial.Load = prefillLoad(0)
+	p.Orders(initial, startTime.Add(-time.Second))
 	total := func(at time.Time) int {
 		sum := 0
-		for _, target := range Plan(State{Scaling: found.Scaling, Zones: found.Zones, Load: found.Load, MinServers: p.minServers(found, at), ReclaimWave: true}) {
+		for _, target := range Plan(State{Scaling: initial.Scaling, Zones: initial.Zones, Load: initial.Load, MinServers: p.minServers(initial, at), ReclaimWave: true}) {
 			sum += target.OnDemand + target.Reclaimable
 		}
 		return sum
 	}
 	c.Check(total(startTime), qt.Equals, 9)
 	c.Check(total(startTime.Add(time.Minute)), qt.Equals, 9, qt.Commentf("no request has arrived yet"))
-	found.Load = prefillLoad(0.5)
+	initial.Load = prefillLoad(0.5)
 	c.Check(total(startTime.Add(time.Minute)), qt.Equals, 9)
 	c.Check(total(startTime.Add(time.Minute+demandWarmup)), qt.Equals, 6)
 }
