--- a/capacity/router_test.go
+++ b/capacity/router_test.go
@@ -45,7 +45,7 @@
 // startRouter starts a router before one plain server and returns its address.
 func startRouter(b *testing.B) string {
 	store := fake.NewStore()
-	backend := serveLoopback(b, &fake.Runner{ID: "i-1"})
+	backend := serveLoopback(b, &fake.Server{ID: "i-1"})
 	store.Put("servers", "i-1", map[string]any{"service": "desk", "address": backend, "zone": "z", "slots": 6, "state": "ready", "version": "v1", "coldLeftMs": 0, "seq": 1})
 	store.Put("config", "main", map[string]any{
 		"version":  1,
--- a/internal/generation/generation_test.go
+++ b/internal/generation/generation_test.go
@@ -72,7 +72,7 @@
 func TestLostAnswerOfApplyIsSettled(t *testing.T) {
 	for lost := range 8 {
 		withStore(t, func(c *qt.C, objects *fake.Store, client store.Values) {
-			objects.LoseWrite(lost)
+			objects.LoseAnswerAfter(lost)
 			manifest, err := NewPublisher(client).Apply(context.Background(), sampleDeployment(c), 0, "one")
 			c.Assert(err, qt.IsNil)
 			c.Check(manifest.Generation, qt.Equals, int64(1))
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -190,7 +190,7 @@
 	forwarder := forward.New(forward.Options{
 		Zone:            r.settings.VM.Zone,
 		View:            r.state.view,
-		Backend:         platform.NewRunners(r.pool),
+		Backend:         platform.NewBackendClient(r.pool),
 		Limiter:         r.state.limiter,
 		Budget:          r.budget,
 		Usage:           r.state.ledger,
--- a/robustness/onplatform/advice_test.go
+++ b/robustness/onplatform/advice_test.go
@@ -48,11 +48,11 @@
 		l.begun = time.Now().Add(time.Hour)
 		b.places = map[string]string{}
 		for i := range p.advising {
-			runner := l.addAt(serverName("advising", i), &fake.Runner{Behave: func(int, *http.Request) fake.Behaviour { return p.behave(time.Since(l.begun)) }})
-			l.servers = append(l.servers, &limitedServer{Runner: runner})
+			runner := l.addAt(serverName("advising", i), &fake.Server{Behave: func(int, *http.Request) fake.Behaviour { return p.behave(time.Since(l.begun)) }})
+			l.servers = append(l.servers, &limitedServer{Server: runner})
 		}
 		for i := range p.sound {
-			l.sound = append(l.sound, l.addAt(serverName("sound", i), &fake.Runner{Behave: l.serve(nil)}))
+			l.sound = append(l.sound, l.addAt(serverName("sound", i), &fake.Server{Behave: l.serve(nil)}))
 		}
 		b.configure(routes{plainRoute("/a/", "idempotent", 2)})
 	}, func(*bed) {
@@ -108,7 +108,7 @@
 func TestServersWhoseAnswersSayThatTheyLeave(t *testing.T) {
 	p := advicePlay{daemons: 8, advising: 2, sound: 2, each: 130 * time.Millisecond, behave: leavingAnswer}
 	t.Run("told by answers alone", func(t *testing.T) { p.run(t, checkNothingLate) })
-	p.trouble = func(l *leavingBed) { l.store.SetOutage(fake.Silent) }
+	p.trouble = func(l *leavingBed) { l.store.SetOutage(fake.OutageSilent) }
 	t.Run("the store is away", func(t *testing.T) { p.run(t, checkNothingLate) })
 	p.trouble = func(l *leavingBed) {
 		for range 10 {
--- a/robustness/onplatform/allowance_test.go
+++ b/robustness/onplatform/allowance_test.go
@@ -53,7 +53,7 @@
 	*leavingBed
 	play   allowancePlay
 	begun  time.Time
-	runner *fake.Runner
+	runner *fake.Server
 
 	// counting guards what follows.
 	counting sync.Mutex
@@ -80,7 +80,7 @@
 	runAlone(t, 0, func(b *bed) {
 		l.bed = b
 		b.quotaOver, b.quotaSlack = 0.1, p.slack()
-		l.runner = b.addServer("i-1", plain, &fake.Runner{Behave: l.serve(seed)})
+		l.runner = b.addServer("i-1", plain, &fake.Server{Behave: l.serve(seed)})
 		l.allow(2 * p.times * p.rate)
 	}, func(b *bed) {
 		for i := range p.daemons {
--- a/robustness/onplatform/bed_test.go
+++ b/robustness/onplatform/bed_test.go
@@ -207,7 +207,7 @@
 }
 
 // addServer starts a backend server and lists it.
-func (b *bed) addServer(id, service string, runner *fake.Runner) *fake.Runner {
+func (b *bed) addServer(id, service string, runner *fake.Server) *fake.Server {
 	runner.ID = id
 	b.serve(b.serverAddress(id), runner)
 	b.listServer(id, service, "ready")
--- a/robustness/onplatform/crash_test.go
+++ b/robustness/onplatform/crash_test.go
@@ -76,10 +76,10 @@
 	s.id = fmt.Sprintf("%s-%d", s.name, s.starts)
 	listener, err := s.b.net.Host(s.ip()).Listen(s.ip() + ":80")
 	s.b.Assert(err, qt.IsNil)
-	runner := &fake.Runner{ID: s.id}
+	runner := &fake.Server{ID: s.id}
 	runner.Behave = func(int, *http.Request) fake.Behaviour { return fake.Behaviour{Delay: eventEvery} }
 	if s.service == model {
-		runner.Events = eventsEach
+		runner.EventCount = eventsEach
 	}
 	s.server = &http.Server{Handler: s.crashOn(runner), ReadHeaderTimeout: time.Minute, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelInfo)}
 	go func(server *http.Server) { _ = server.Serve(listener) }(s.server)
@@ -96,7 +96,7 @@
 func (s *crashServer) ip() string { ip, _, _ := strings.Cut(s.b.serverAddress(s.name), ":"); return ip }
 
 // crashOn returns a handler that ends the server under requests that are poison.
-func (s *crashServer) crashOn(runner *fake.Runner) http.Handler {
+func (s *crashServer) crashOn(runner *fake.Server) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
--- a/robustness/onplatform/duty_test.go
+++ b/robustness/onplatform/duty_test.go
@@ -18,8 +18,8 @@
 )
 
 func serving(b *bed) {
-	b.addServer("i-1", plain, &fake.Runner{})
-	b.addServer("m-1", model, &fake.Runner{Events: 3})
+	b.addServer("i-1", plain, &fake.Server{})
+	b.addServer("m-1", model, &fake.Server{EventCount: 3})
 	b.configure(routes{plainRoute("/a/", "idempotent", 1), streamRoute("/s/", true, 2)})
 }
 
@@ -107,7 +107,7 @@
 				}
 			}
 		},
-		"refused by store": func(b *bed, d *daemon) { b.store.Refuse(d.ip, fake.Silent) },
+		"refused by store": func(b *bed, d *daemon) { b.store.SetOutageFor(d.ip, fake.OutageSilent) },
 	}
 	for name, cut := range cuts {
 		t.Run(name, func(t *testing.T) {
@@ -143,9 +143,9 @@
 	run(t, 2, serving, func(b *bed) {
 		b.cloud.LoseAnswers(3)
 		sent := b.use(40, 0, 1)
-		b.cloud.SetOutage(fake.Busy)
+		b.cloud.SetOutage(fake.OutageBusy)
 		sent += b.use(30, 0, 1)
-		b.cloud.SetOutage(fake.Up)
+		b.cloud.SetOutage(fake.OutageNone)
 		time.Sleep(usageWindow + usageDue)
 		b.Check(b.reported(), qt.Equals, sent)
 	})
@@ -173,7 +173,7 @@
 		name := map[bool]string{false: "whole", true: "cut in two"}[parted]
 		t.Run(name, func(t *testing.T) {
 			run(t, 4, func(b *bed) {
-				b.addServer("m-1", model, &fake.Runner{Events: 3})
+				b.addServer("m-1", model, &fake.Server{EventCount: 3})
 				b.configure(routes{streamRoute("/s/", true, 2)}, limited(rate, burst))
 			}, func(b *bed) {
 				time.Sleep(2 * time.Second)
@@ -223,7 +223,7 @@
 // whole, and the process ends.
 func TestRequestFinishesDuringShutdown(t *testing.T) {
 	run(t, 1, func(b *bed) {
-		b.addServer("m-1", model, &fake.Runner{Events: 30, Behave: slowly})
+		b.addServer("m-1", model, &fake.Server{EventCount: 30, Behave: slowly})
 		b.configure(routes{streamRoute("/s/", true, 2)})
 	}, func(b *bed) {
 		answered := make(chan reply, 1)
@@ -243,7 +243,7 @@
 // stand-in on demand where no reclaimable server is to be had.
 func TestServersFollowDemand(t *testing.T) {
 	run(t, 1, serving, func(b *bed) {
-		b.cloud.SetNoSpot(true)
+		b.cloud.SetNoReclaimable(true)
 		time.Sleep(3 * time.Second)
 		before := b.ordered(false)
 		for range 40 {
--- a/robustness/onplatform/entries_test.go
+++ b/robustness/onplatform/entries_test.go
@@ -30,20 +30,20 @@
 	}
 	for name, text := range texts {
 		t.Run(name, func(t *testing.T) {
-			var spoiled *fake.Runner
+			var spoiled *fake.Server
 			run(t, 3, func(b *bed) {
-				spoiled = b.addServer("i-1", plain, &fake.Runner{})
-				b.addServer("i-2", plain, &fake.Runner{})
-				b.store.PutText("servers", "i-0", text)
+				spoiled = b.addServer("i-1", plain, &fake.Server{})
+				b.addServer("i-2", plain, &fake.Server{})
+				b.store.PutRaw("servers", "i-0", text)
 				b.configure(routes{plainRoute("/a/", "idempotent", 1)})
 			}, func(b *bed) {
 				for i := range 9 {
 					b.Check(b.send(call{method: "GET", path: "/a/x", key: testKey, to: i % 3}).status, qt.Equals, 200)
 				}
 				// One that was in use is spoiled: it is left within the time to drain.
-				b.store.PutText("servers", "i-1", text)
+				b.store.PutRaw("servers", "i-1", text)
 				b.listServer("i-3", plain, "ready")
-				b.addServer("i-3", plain, &fake.Runner{})
+				b.addServer("i-3", plain, &fake.Server{})
 				time.Sleep(2 * time.Second)
 				before := len(spoiled.Arrivals())
 				for i := range 12 {
@@ -67,7 +67,7 @@
 	for _, text := range []string{`null`, `[]`, `{"version":`, `{"version":"nine"}`, `{"routes":[]}`, `"x"`} {
 		t.Run(text, func(t *testing.T) {
 			run(t, 2, twoKeys, func(b *bed) {
-				b.store.PutText("config", "main", text)
+				b.store.PutRaw("config", "main", text)
 				time.Sleep(inForce)
 				b.Check(b.send(call{method: "GET", path: "/a/x", key: otherKey}).status, qt.Equals, 200)
 				// A daemon that starts beside it waits for a good one.
@@ -85,8 +85,8 @@
 func TestUnreadableLease(t *testing.T) {
 	run(t, 3, twoKeys, func(b *bed) {
 		time.Sleep(5 * time.Second)
-		b.store.PutText("plankridge-leases", "cloud", `{"holder":7`)
-		b.store.PutText("plankridge-daemons", "vm-9", `[]`)
+		b.store.PutRaw("plankridge-leases", "cloud", `{"holder":7`)
+		b.store.PutRaw("plankridge-daemons", "vm-9", `[]`)
 		time.Sleep(8 * time.Second)
 		var record struct{ Holder string }
 		b.Check(b.send(call{method: "GET", path: "/a/x", key: testKey}).status, qt.Equals, 200)
@@ -101,10 +101,10 @@
 	for _, kind := range []string{"stream", "idempotent", "non_idempotent"} {
 		t.Run(kind, func(t *testing.T) {
 			silent := func(int, *http.Request) fake.Behaviour { return fake.Behaviour{Delay: time.Minute} }
-			var other *fake.Runner
+			var other *fake.Server
 			run(t, 2, func(b *bed) {
-				b.addServer("i-1", plain, &fake.Runner{Behave: silent})
-				b.addServer("m-1", model, &fake.Runner{Events: 4, Behave: silent})
+				b.addServer("i-1", plain, &fake.Server{Behave: silent})
+				b.addServer("m-1", model, &fake.Server{EventCount: 4, Behave: silent})
 				b.listBorn("i-1", plain, "ready", 1000, 9)
 				b.listBorn("m-1", model, "ready", 1000, 9)
 				b.configure(routes{slow(plainRoute("/a/", "idempotent", 2)), slow(plainRoute("/o/", "non_idempotent", 2)), streamRoute("/s/", true, 2)})
@@ -116,7 +116,7 @@
 				got := make(chan reply, 1)
 				go func() { got <- b.send(calls[kind]) }()
 				time.Sleep(300 * time.Millisecond)
-				other = b.addServer("x-2", map[bool]string{true: model, false: plain}[kind == "stream"], &fake.Runner{Events: map[bool]int{true: 4}[kind == "stream"]})
+				other = b.addServer("x-2", map[bool]string{true: model, false: plain}[kind == "stream"], &fake.Server{EventCount: map[bool]int{true: 4}[kind == "stream"]})
 				b.listBorn("x-2", map[bool]string{true: model, false: plain}[kind == "stream"], "ready", 1500, 1)
 				time.Sleep(300 * time.Millisecond)
 				b.listBorn("i-1", plain, "ready", 2000, 1)
@@ -129,7 +129,7 @@
 					b.Check(other.Arrivals(), qt.HasLen, 0)
 				default:
 					b.Check(r.status, qt.Equals, http.StatusOK)
-					b.Check(other.Runs(r.id), qt.Equals, 1)
+					b.Check(other.RunCount(r.id), qt.Equals, 1)
 				}
 			})
 		})
@@ -145,9 +145,9 @@
 // TestOldWordsOfAnEarlierIncarnation: a write of a server that has died is carried out after
 // the first of its next incarnation, at every daemon alike, those that start later too.
 func TestOldWordsOfAnEarlierIncarnation(t *testing.T) {
-	var server *fake.Runner
+	var server *fake.Server
 	run(t, 3, func(b *bed) {
-		server = b.addServer("i-1", plain, &fake.Runner{})
+		server = b.addServer("i-1", plain, &fake.Server{})
 		b.listBorn("i-1", plain, "ready", 2000, 1)
 		b.configure(routes{plainRoute("/a/", "idempotent", 1)})
 	}, func(b *bed) {
--- a/robustness/onplatform/leaving_test.go
+++ b/robustness/onplatform/leaving_test.go
@@ -74,7 +74,7 @@
 
 // leavingServer is a server of one service.
 type leavingServer struct {
-	*fake.Runner
+	*fake.Server
 	service string
 	// left is when the store took over that it leaves.
 	left time.Time
@@ -151,7 +151,7 @@
 func (l *leavingBed) addStaying(i int) {
 	id := fmt.Sprintf("i-stays-%02d", i)
 	l.places[id] = fmt.Sprintf("10.4.0.%d:80", i+1)
-	l.addServer(id, serviceName(i), &fake.Runner{Behave: func(int, *http.Request) fake.Behaviour {
+	l.addServer(id, serviceName(i), &fake.Server{Behave: func(int, *http.Request) fake.Behaviour {
 		return fake.Behaviour{Delay: 120 * time.Millisecond}
 	}})
 }
@@ -160,13 +160,13 @@
 func (l *leavingBed) addLeaving(i int) {
 	l.mu.Lock()
 	l.starts++
-	s := &leavingServer{Runner: &fake.Runner{}, service: serviceName(i)}
+	s := &leavingServer{Server: &fake.Server{}, service: serviceName(i)}
 	id := fmt.Sprintf("i-%06d", l.starts)
 	l.places[id] = fmt.Sprintf("10.3.%d.%d:80", l.starts/250, l.starts%250+1)
 	l.leaving[i] = s
 	l.all = append(l.all, s)
 	l.mu.Unlock()
-	l.addServer(id, s.service, s.Runner)
+	l.addServer(id, s.service, s.Server)
 }
 
 // change lets servers leave, by draining first or without a word, and others come, a few in a
@@ -436,30 +436,30 @@
 		l.acrossZone("zone-1", l.net.Speak)
 	},
 	"the store is away": func(l *leavingBed) {
-		for _, outage := range []fake.Outage{fake.Silent, fake.Busy} {
+		for _, outage := range []fake.Outage{fake.OutageSilent, fake.OutageBusy} {
 			time.Sleep(2 * time.Second)
 			l.shake()
 			l.store.SetOutage(outage)
 			time.Sleep(2500 * time.Millisecond)
-			l.store.SetOutage(fake.Up)
+			l.store.SetOutage(fake.OutageNone)
 			l.shake()
 		}
 	},
 	"the store forgets its history": func(l *leavingBed) {
 		for range 4 {
 			pause(context.Background(), 2*time.Second+time.Duration(l.luck.IntN(900))*time.Millisecond)
-			l.store.CompactUnnoticed()
+			l.store.CompactSilently()
 		}
 	},
 	"the store turns leads away": func(l *leavingBed) {
 		time.Sleep(2 * time.Second)
 		cut := l.firstRelays(1)
 		for _, i := range cut {
-			l.store.Refuse(l.daemons[i].ip, fake.Silent)
+			l.store.SetOutageFor(l.daemons[i].ip, fake.OutageSilent)
 		}
 		time.Sleep(5 * time.Second)
 		for _, i := range cut {
-			l.store.Refuse(l.daemons[i].ip, fake.Up)
+			l.store.SetOutageFor(l.daemons[i].ip, fake.OutageNone)
 		}
 	},
 }
@@ -503,9 +503,9 @@
 // TestStartedDaemonAndServersThatHaveDrained: a daemon that has just started sees that a server
 // drains and not since when; it sent requests there for 1.2 s more, seconds after the bound.
 func TestStartedDaemonAndServersThatHaveDrained(t *testing.T) {
-	var leaving *fake.Runner
+	var leaving *fake.Server
 	run(t, 3, func(b *bed) {
-		leaving = b.addServer("i-1", plain, &fake.Runner{})
+		leaving = b.addServer("i-1", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "idempotent", 1)})
 	}, func(b *bed) {
 		b.listServer("i-1", plain, "draining")
--- a/robustness/onplatform/limits_test.go
+++ b/robustness/onplatform/limits_test.go
@@ -57,7 +57,7 @@
 
 // limitedServer is a server that names a limit for a while.
 type limitedServer struct {
-	*fake.Runner
+	*fake.Server
 	limit float64
 }
 
@@ -68,7 +68,7 @@
 	seed    uint64
 	begun   time.Time
 	servers []*limitedServer
-	sound   []*fake.Runner
+	sound   []*fake.Server
 
 	mu      sync.Mutex
 	replies []reply
@@ -104,7 +104,7 @@
 			l.addLimited(i, limit)
 		}
 		for i := range p.sound {
-			l.sound = append(l.sound, l.addAt(fmt.Sprintf("i-sound-%d", i), &fake.Runner{Behave: l.serve(nil)}))
+			l.sound = append(l.sound, l.addAt(fmt.Sprintf("i-sound-%d", i), &fake.Server{Behave: l.serve(nil)}))
 		}
 		b.configure(routes{plainRoute("/a/", "idempotent", 2)})
 	}, func(*bed) {
@@ -132,14 +132,14 @@
 	running.Wait()
 }
 
-func (l *limitsBed) addAt(id string, runner *fake.Runner) *fake.Runner {
+func (l *limitsBed) addAt(id string, runner *fake.Server) *fake.Server {
 	l.places[id] = fmt.Sprintf("10.4.0.%d:80", len(l.places)+1)
 	return l.addServer(id, plain, runner)
 }
 
 func (l *limitsBed) addLimited(i int, limit float64) {
-	runner := l.addAt(fmt.Sprintf("i-limited-%d", i), &fake.Runner{Behave: l.serve(&limit)})
-	l.servers = append(l.servers, &limitedServer{Runner: runner, limit: limit})
+	runner := l.addAt(fmt.Sprintf("i-limited-%d", i), &fake.Server{Behave: l.serve(&limit)})
+	l.servers = append(l.servers, &limitedServer{Server: runner, limit: limit})
 }
 
 // serve answers after 80 ms and names the limit for a while.
--- a/robustness/onplatform/metrics_test.go
+++ b/robustness/onplatform/metrics_test.go
@@ -23,7 +23,7 @@
 // TestMetricsTellWhatADaemonBelieves: version in force, servers, daemons and roles.
 func TestMetricsTellWhatADaemonBelieves(t *testing.T) {
 	run(t, 4, func(b *bed) {
-		b.store.Refuse("10.1.0.3", fake.Busy)
+		b.store.SetOutageFor("10.1.0.3", fake.OutageBusy)
 		twoKeys(b)
 	}, func(b *bed) {
 		first, refused := b.metrics(b.daemons[0]), b.metrics(b.daemons[2])
--- a/robustness/onplatform/quarantine_test.go
+++ b/robustness/onplatform/quarantine_test.go
@@ -213,9 +213,9 @@
 // storeIsDown takes the store away while the request is found out, and kills all daemons when
 // it is back.
 func storeIsDown(b *bed, _ *crashServers) {
-	b.store.SetOutage(fake.Silent)
+	b.store.SetOutage(fake.OutageSilent)
 	time.Sleep(6 * time.Second)
-	b.store.SetOutage(fake.Up)
+	b.store.SetOutage(fake.OutageNone)
 	time.Sleep(4 * time.Second)
 	b.restartAll(300 * time.Millisecond)
 }
--- a/robustness/onplatform/relay_test.go
+++ b/robustness/onplatform/relay_test.go
@@ -33,12 +33,12 @@
 // TestServersReachAllDaemons: one that drains gets no work from any, within the
 // bound, and one that is new gets some.
 func TestServersReachAllDaemons(t *testing.T) {
-	var leaving *fake.Runner
+	var leaving *fake.Server
 	run(t, zonesOfFive, func(b *bed) {
-		leaving = b.addServer("i-1", plain, &fake.Runner{})
+		leaving = b.addServer("i-1", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "idempotent", 1)})
 	}, func(b *bed) {
-		fresh := b.addServer("i-2", plain, &fake.Runner{})
+		fresh := b.addServer("i-2", plain, &fake.Server{})
 		b.listServer("i-1", plain, "draining")
 		time.Sleep(inForce)
 		before := len(leaving.Arrivals())
@@ -96,7 +96,7 @@
 func TestRelaysThatTheStoreRefuses(t *testing.T) {
 	run(t, zonesOfFive, twoKeys, func(b *bed) {
 		for _, d := range b.relays() {
-			b.store.Refuse(d.ip, fake.Silent)
+			b.store.SetOutageFor(d.ip, fake.OutageSilent)
 		}
 		time.Sleep(4 * time.Second)
 		b.revoke()
@@ -108,7 +108,7 @@
 // TestUsageOverZones: the counts of all daemons reach the holder of the lease.
 func TestUsageOverZones(t *testing.T) {
 	run(t, zonesOfFive, func(b *bed) {
-		b.addServer("i-1", plain, &fake.Runner{})
+		b.addServer("i-1", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "idempotent", 1)})
 	}, func(b *bed) {
 		replies := b.burst(90, func(i int) call {
@@ -126,7 +126,7 @@
 	// An allowance is the rate over a window of 8 s and one burst.
 	const rounds, window = 10 * seconds, 80
 	run(t, zonesOfFive, func(b *bed) {
-		b.addServer("i-1", plain, &fake.Runner{})
+		b.addServer("i-1", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "idempotent", 1)}, limited(rate, rate))
 	}, func(b *bed) {
 		time.Sleep(5 * time.Second)
@@ -157,7 +157,7 @@
 func TestStartingLeadAdoptsLevels(t *testing.T) {
 	const rate = 2000.0
 	run(t, 3, func(b *bed) {
-		b.addServer("i-1", plain, &fake.Runner{})
+		b.addServer("i-1", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "idempotent", 1)}, limited(rate, rate))
 	}, func(b *bed) {
 		time.Sleep(8 * time.Second)
@@ -182,7 +182,7 @@
 	// An allowance is the rate over a window of 8 s and one burst.
 	const allowed = int((8*rate + rate) / cost)
 	run(t, daemons, func(b *bed) {
-		b.addServer("i-1", plain, &fake.Runner{})
+		b.addServer("i-1", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "idempotent", 1)}, limited(rate, rate))
 	}, func(b *bed) {
 		time.Sleep(8 * time.Second)
@@ -245,7 +245,7 @@
 // reported, though it stops.
 func TestUsageOfTheLastDaemonOfAZone(t *testing.T) {
 	run(t, 3, func(b *bed) {
-		b.addServer("i-1", plain, &fake.Runner{})
+		b.addServer("i-1", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "idempotent", 1)})
 	}, func(b *bed) {
 		stopping := b.daemons[2]
--- a/robustness/onplatform/request_test.go
+++ b/robustness/onplatform/request_test.go
@@ -15,9 +15,9 @@
 // TestPassesRequestAndAnswerUnchanged: what is the caller's goes on as it came,
 // what is ours is set by us alone, and the key goes no further.
 func TestPassesRequestAndAnswerUnchanged(t *testing.T) {
-	var server *fake.Runner
+	var server *fake.Server
 	run(t, 1, func(b *bed) {
-		server = b.addServer("i-1", plain, &fake.Runner{})
+		server = b.addServer("i-1", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "non_idempotent", 1), plainRoute("/a/b/", "idempotent", 2)})
 	}, func(b *bed) {
 		got := b.send(call{
@@ -44,7 +44,7 @@
 // TestRefusesAtTheDoor: unknown keys, routes and large bodies are told apart.
 func TestRefusesAtTheDoor(t *testing.T) {
 	run(t, 1, func(b *bed) {
-		b.addServer("i-1", plain, &fake.Runner{})
+		b.addServer("i-1", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "non_idempotent", 1)})
 	}, func(b *bed) {
 		b.Check(b.send(call{method: "POST", path: "/a/x", key: "unknown"}).status, qt.Equals, 401)
@@ -68,48 +68,48 @@
 // TestNonIdempotentRunsOnce: after a lost answer the request is not sent again
 // and is not called not run.
 func TestNonIdempotentRunsOnce(t *testing.T) {
-	var one, two *fake.Runner
+	var one, two *fake.Server
 	run(t, 1, func(b *bed) {
 		lose := func(int, *http.Request) fake.Behaviour { return fake.Behaviour{LoseAnswer: true} }
-		one = b.addServer("i-1", plain, &fake.Runner{Behave: lose})
-		two = b.addServer("i-2", plain, &fake.Runner{Behave: lose})
+		one = b.addServer("i-1", plain, &fake.Server{Behave: lose})
+		two = b.addServer("i-2", plain, &fake.Server{Behave: lose})
 		b.configure(routes{plainRoute("/a/", "non_idempotent", 3)})
 	}, func(b *bed) {
 		got := b.send(call{method: "POST", path: "/a/x", key: testKey, body: "order"})
 		b.Check(got.status, qt.Equals, 502)
-		b.Check(one.Runs(got.id)+two.Runs(got.id), qt.Equals, 1)
+		b.Check(one.RunCount(got.id)+two.RunCount(got.id), qt.Equals, 1)
 	})
 }
 
 // TestDeclinedGoesToAnotherServer: a server's word that it has not run the
 // request lets a non-idempotent one go on.
 func TestDeclinedGoesToAnotherServer(t *testing.T) {
-	var one, two *fake.Runner
+	var one, two *fake.Server
 	run(t, 1, func(b *bed) {
 		first := func(int, *http.Request) fake.Behaviour { return fake.Behaviour{Decline: true} }
-		one = b.addServer("i-1", plain, &fake.Runner{Behave: first})
-		two = b.addServer("i-2", plain, &fake.Runner{})
+		one = b.addServer("i-1", plain, &fake.Server{Behave: first})
+		two = b.addServer("i-2", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "non_idempotent", 2)})
 	}, func(b *bed) {
 		got := b.send(call{method: "POST", path: "/a/x", key: testKey, body: "order"})
 		b.Check(got.status, qt.Equals, 200)
-		b.Check(one.Runs(got.id), qt.Equals, 0)
-		b.Check(two.Runs(got.id), qt.Equals, 1)
+		b.Check(one.RunCount(got.id), qt.Equals, 0)
+		b.Check(two.RunCount(got.id), qt.Equals, 1)
 	})
 }
 
 // TestRefusalIsTrue: when every server declines, the caller is told that the
 // request has not run and when to come back.
 func TestRefusalIsTrue(t *testing.T) {
-	var server *fake.Runner
+	var server *fake.Server
 	run(t, 1, func(b *bed) {
-		server = b.addServer("i-1", plain, &fake.Runner{Behave: func(int, *http.Request) fake.Behaviour { return fake.Behaviour{Decline: true} }})
+		server = b.addServer("i-1", plain, &fake.Server{Behave: func(int, *http.Request) fake.Behaviour { return fake.Behaviour{Decline: true} }})
 		b.configure(routes{plainRoute("/a/", "non_idempotent", 2)})
 	}, func(b *bed) {
 		got := b.send(call{method: "POST", path: "/a/x", key: testKey, body: "order"})
 		b.Check(got.status, qt.Equals, 503)
 		b.Check(got.header.Get("Retry-After"), qt.Not(qt.Equals), "")
-		b.Check(server.Runs(got.id), qt.Equals, 0)
+		b.Check(server.RunCount(got.id), qt.Equals, 0)
 		b.Check(got.took < 100*time.Millisecond, qt.IsTrue, qt.Commentf("held for %s", got.took))
 	})
 }
@@ -119,15 +119,15 @@
 func TestIdempotentIsSentAgain(t *testing.T) {
 	faults := map[string]fake.Behaviour{
 		"answer lost": {LoseAnswer: true},
-		"unsigned":    {Unstamped: true},
+		"unsigned":    {Unsigned: true},
 		"failure":     {Status: 500},
 		"silence":     {Delay: time.Minute},
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			run(t, 1, func(b *bed) {
-				b.addServer("i-1", plain, &fake.Runner{Behave: func(int, *http.Request) fake.Behaviour { return fault }})
-				b.addServer("i-2", plain, &fake.Runner{})
+				b.addServer("i-1", plain, &fake.Server{Behave: func(int, *http.Request) fake.Behaviour { return fault }})
+				b.addServer("i-2", plain, &fake.Server{})
 				b.configure(routes{plainRoute("/a/", "idempotent", 2)})
 			}, func(b *bed) {
 				got := b.send(call{method: "GET", path: "/a/x", key: testKey})
@@ -140,16 +140,16 @@
 
 // TestMaxAttemptsBinds: a route with one attempt has one.
 func TestMaxAttemptsBinds(t *testing.T) {
-	var one, two *fake.Runner
+	var one, two *fake.Server
 	run(t, 1, func(b *bed) {
 		lose := func(int, *http.Request) fake.Behaviour { return fake.Behaviour{LoseAnswer: true} }
-		one = b.addServer("i-1", plain, &fake.Runner{Behave: lose})
-		two = b.addServer("i-2", plain, &fake.Runner{Behave: lose})
+		one = b.addServer("i-1", plain, &fake.Server{Behave: lose})
+		two = b.addServer("i-2", plain, &fake.Server{Behave: lose})
 		b.configure(routes{plainRoute("/a/", "idempotent", 1)})
 	}, func(b *bed) {
 		got := b.send(call{method: "GET", path: "/a/x", key: testKey})
 		b.Check(got.status, qt.Equals, 502)
-		b.Check(one.Runs(got.id)+two.Runs(got.id), qt.Equals, 1)
+		b.Check(one.RunCount(got.id)+two.RunCount(got.id), qt.Equals, 1)
 	})
 }
 
@@ -157,7 +157,7 @@
 // the route's timeout, not later.
 func TestAnswersAtRouteTimeout(t *testing.T) {
 	run(t, 1, func(b *bed) {
-		b.addServer("i-1", plain, &fake.Runner{Behave: func(int, *http.Request) fake.Behaviour { return fake.Behaviour{Delay: time.Minute} }})
+		b.addServer("i-1", plain, &fake.Server{Behave: func(int, *http.Request) fake.Behaviour { return fake.Behaviour{Delay: time.Minute} }})
 		b.configure(routes{plainRoute("/a/", "non_idempotent", 1)})
 	}, func(b *bed) {
 		got := b.send(call{method: "POST", path: "/a/x", key: testKey, deadline: 10 * time.Second})
@@ -168,9 +168,9 @@
 
 // TestCallerThatLeavesCancels: the server learns within half a second.
 func TestCallerThatLeavesCancels(t *testing.T) {
-	var server *fake.Runner
+	var server *fake.Server
 	run(t, 1, func(b *bed) {
-		server = b.addServer("i-1", model, &fake.Runner{Events: 50, Behave: func(int, *http.Request) fake.Behaviour {
+		server = b.addServer("i-1", model, &fake.Server{EventCount: 50, Behave: func(int, *http.Request) fake.Behaviour {
 			return fake.Behaviour{Delay: 100 * time.Millisecond}
 		}})
 		b.configure(routes{streamRoute("/s/", true, 2)})
@@ -187,27 +187,27 @@
 // TestAddressOfAnotherServer: a server that is not the expected one does not run
 // the request, which goes on elsewhere.
 func TestAddressOfAnotherServer(t *testing.T) {
-	var other *fake.Runner
+	var other *fake.Server
 	run(t, 1, func(b *bed) {
-		other = b.addServer("i-1", plain, &fake.Runner{})
-		b.addServer("i-2", plain, &fake.Runner{})
+		other = b.addServer("i-1", plain, &fake.Server{})
+		b.addServer("i-2", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "non_idempotent", 2)})
 	}, func(b *bed) {
 		other.ID = "i-9"
 		got := b.send(call{method: "POST", path: "/a/x", key: testKey})
 		b.Check(got.status, qt.Equals, 200)
 		b.Check(got.header.Get("Response-Stamp"), qt.Equals, "stamp-of-i-2")
-		b.Check(other.Runs(got.id), qt.Equals, 0)
+		b.Check(other.RunCount(got.id), qt.Equals, 0)
 	})
 }
 
 // TestRetryBudgetBinds: repeats stay within the deployment's budget.
 func TestRetryBudgetBinds(t *testing.T) {
-	var one, two *fake.Runner
+	var one, two *fake.Server
 	run(t, 2, func(b *bed) {
 		lose := func(int, *http.Request) fake.Behaviour { return fake.Behaviour{LoseAnswer: true} }
-		one = b.addServer("i-1", plain, &fake.Runner{Behave: lose})
-		two = b.addServer("i-2", plain, &fake.Runner{Behave: lose})
+		one = b.addServer("i-1", plain, &fake.Server{Behave: lose})
+		two = b.addServer("i-2", plain, &fake.Server{Behave: lose})
 		b.configure(routes{plainRoute("/a/", "idempotent", 2)})
 	}, func(b *bed) {
 		const requests = 200
--- a/robustness/onplatform/rollout_test.go
+++ b/robustness/onplatform/rollout_test.go
@@ -38,8 +38,8 @@
 	ips []string
 
 	mu      sync.Mutex
-	old     []*fake.Runner
-	new     []*fake.Runner
+	old     []*fake.Server
+	new     []*fake.Server
 	stopped bool
 	replies []reply
 	// bad are when servers of the new version answered badly.
@@ -81,7 +81,7 @@
 	}, func(b *bed) {
 		v := &versionBed{bed: b}
 		for i := range 3 {
-			runner := &fake.Runner{Behave: func(int, *http.Request) fake.Behaviour {
+			runner := &fake.Server{Behave: func(int, *http.Request) fake.Behaviour {
 				v.mu.Lock()
 				defer v.mu.Unlock()
 				return fake.Behaviour{Delay: 10 * time.Millisecond, LoseAnswer: v.stopped}
@@ -111,14 +111,14 @@
 	})
 }
 
-func (b *bed) startServer(id string, runner *fake.Runner) *fake.Runner {
+func (b *bed) startServer(id string, runner *fake.Server) *fake.Server {
 	runner.ID = id
 	b.serve(b.serverAddress(id), runner)
 	return runner
 }
 
-func (v *versionBed) startNew(id string, bad badness) *fake.Runner {
-	return v.startServer(id, &fake.Runner{Behave: func(_ int, r *http.Request) fake.Behaviour {
+func (v *versionBed) startNew(id string, bad badness) *fake.Server {
+	return v.startServer(id, &fake.Server{Behave: func(_ int, r *http.Request) fake.Behaviour {
 		v.mu.Lock()
 		defer v.mu.Unlock()
 		behaviour, isBad := bad(time.Since(v.began), r)
@@ -306,9 +306,9 @@
 		"all die at 3 s":     func(v *versionBed) { time.Sleep(3 * time.Second); v.killAll() },
 		"store down for 4 s": func(v *versionBed) {
 			time.Sleep(2 * time.Second)
-			v.store.SetOutage(fake.Reset)
+			v.store.SetOutage(fake.OutageReset)
 			time.Sleep(4 * time.Second)
-			v.store.SetOutage(fake.Up)
+			v.store.SetOutage(fake.OutageNone)
 		},
 		"answers are lost": func(v *versionBed) { v.store.LoseAnswers(3); time.Sleep(8 * time.Second); v.store.LoseAnswers(4) },
 		"history is dropped": func(v *versionBed) {
@@ -317,13 +317,13 @@
 			time.Sleep(6 * time.Second)
 			v.store.Compact()
 		},
-		"a daemon is cut off": func(v *versionBed) { v.store.Refuse(v.daemons[2].ip, fake.Busy) },
+		"a daemon is cut off": func(v *versionBed) { v.store.SetOutageFor(v.daemons[2].ip, fake.OutageBusy) },
 		"a zone is cut off":   func(v *versionBed) { time.Sleep(time.Second); v.part(0, 3); time.Sleep(6 * time.Second); v.heal(0, 3) },
 		"a daemon starts":     func(v *versionBed) { time.Sleep(4 * time.Second); v.startDaemon(7) },
 		"most die at 9 s":     func(v *versionBed) { time.Sleep(9 * time.Second); v.killSome(4) },
 		"store turns most away": func(v *versionBed) {
 			for _, d := range v.daemons[1:] {
-				v.store.Refuse(d.ip, fake.Silent)
+				v.store.SetOutageFor(d.ip, fake.OutageSilent)
 			}
 		},
 		"candidate starts again": func(v *versionBed) {
@@ -356,12 +356,12 @@
 // TestVersionThatNobodyNamed: it gets nothing, also at daemons that start beside it, until an
 // order names it.
 func TestVersionThatNobodyNamed(t *testing.T) {
-	var old, unnamed *fake.Runner
+	var old, unnamed *fake.Server
 	run(t, 3, func(b *bed) {
-		old = b.addServer("i-1", plain, &fake.Runner{})
+		old = b.addServer("i-1", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "idempotent", 1)})
 	}, func(b *bed) {
-		unnamed = b.startServer("i-2", &fake.Runner{})
+		unnamed = b.startServer("i-2", &fake.Server{})
 		b.listVersion("i-2", plain, newVersion, "ready")
 		time.Sleep(2 * time.Second)
 		b.startDaemon(4)
@@ -429,7 +429,7 @@
 func TestSpoiledOrderKeepsTheOneInForce(t *testing.T) {
 	playRollOut(t, 6, sound, func(v *versionBed) {
 		time.Sleep(2 * time.Second)
-		v.store.PutText("rollouts", plain, `{"service":"desk","to":9}`)
+		v.store.PutRaw("rollouts", plain, `{"service":"desk","to":9}`)
 		v.store.Compact()
 		time.Sleep(2 * time.Second)
 		before, _ := v.exposed()
@@ -444,9 +444,9 @@
 	for _, text := range []string{`null`, `{}`, `{"service":"desk","to":7,"durationS":12}`, `{"service":"desk","to":"v2"}`, `{"service":"desk"`, `{"service":"other","to":"v2","durationS":12}`, `{"service":"desk","to":"v2","durationS":-1}`} {
 		t.Run(text, func(t *testing.T) {
 			run(t, 3, twoKeys, func(b *bed) {
-				unnamed := b.startServer("i-2", &fake.Runner{})
+				unnamed := b.startServer("i-2", &fake.Server{})
 				b.listVersion("i-2", plain, newVersion, "ready")
-				b.store.PutText("rollouts", plain, text)
+				b.store.PutRaw("rollouts", plain, text)
 				time.Sleep(2 * time.Second)
 				for i := range 30 {
 					b.Check(b.send(call{method: "GET", path: "/a/x", key: testKey, to: i % 3}).status, qt.Equals, 200)
@@ -462,13 +462,13 @@
 // version. Whoever still takes it for the old one is told so, and nothing runs on a version
 // that nobody named.
 func TestVersionsUnderOneAddress(t *testing.T) {
-	var other *fake.Runner
+	var other *fake.Server
 	run(t, 3, func(b *bed) {
-		b.addServer("i-1", plain, &fake.Runner{})
+		b.addServer("i-1", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "idempotent", 2), plainRoute("/o/", "non_idempotent", 1)})
 	}, func(b *bed) {
 		// The entry of the old one at the same address stays for a while.
-		other = &fake.Runner{ID: "i-9"}
+		other = &fake.Server{ID: "i-9"}
 		b.serve("10.2.9.9:80", other)
 		stale := map[string]any{"service": plain, "address": "10.2.9.9:80", "zone": "zone-1", "version": oldVersion, "slots": 6, "state": "ready", "coldLeftMs": 0, "seq": 1}
 		b.store.Put("servers", "i-2", stale)
@@ -501,7 +501,7 @@
 		stopped := make(chan struct{})
 		steady := func(int, *http.Request) fake.Behaviour { return fake.Behaviour{Delay: 50 * time.Millisecond} }
 		for i := range 2 {
-			b.startServer(fmt.Sprintf("m-old%d", i), &fake.Runner{Events: 20, Behave: func(int, *http.Request) fake.Behaviour {
+			b.startServer(fmt.Sprintf("m-old%d", i), &fake.Server{EventCount: 20, Behave: func(int, *http.Request) fake.Behaviour {
 				select {
 				case <-stopped:
 					return fake.Behaviour{LoseAnswer: true}
@@ -513,7 +513,7 @@
 		time.Sleep(2 * time.Second)
 		b.store.Put("rollouts", model, map[string]any{"service": model, "to": newVersion, "durationS": rollOutFor.Seconds()})
 		for i := range 3 {
-			b.startServer(fmt.Sprintf("m-new%d", i), &fake.Runner{Events: 20, Behave: steady})
+			b.startServer(fmt.Sprintf("m-new%d", i), &fake.Server{EventCount: 20, Behave: steady})
 			b.listVersion(fmt.Sprintf("m-new%d", i), model, newVersion, "ready")
 		}
 		go func() {
--- a/robustness/onplatform/start_test.go
+++ b/robustness/onplatform/start_test.go
@@ -43,7 +43,7 @@
 			runAlone(t, daemons, func(b *bed) {
 				b.bootstrap = true
 				b.store.SetPageSize(500)
-				b.addServer("i-1", plain, &fake.Runner{})
+				b.addServer("i-1", plain, &fake.Server{})
 				b.configure(routes{plainRoute("/a/", "idempotent", 1)})
 			}, func(b *bed) {
 				time.Sleep(time.Second)
@@ -67,14 +67,14 @@
 func TestOutagesCostFewCalls(t *testing.T) {
 	runAlone(t, 160, func(b *bed) {
 		b.store.SetPageSize(500)
-		b.addServer("i-1", plain, &fake.Runner{})
+		b.addServer("i-1", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "idempotent", 1)})
 	}, func(b *bed) {
 		time.Sleep(2 * time.Second)
 		before := b.calls()
-		b.store.SetOutage(fake.Reset)
+		b.store.SetOutage(fake.OutageReset)
 		time.Sleep(5 * time.Second)
-		b.store.SetOutage(fake.Up)
+		b.store.SetOutage(fake.OutageNone)
 		time.Sleep(3 * time.Second)
 		calls := b.calls() - before
 		t.Logf("%d goroutines", runtime.NumGoroutine())
@@ -90,7 +90,7 @@
 		t.Run(after.String(), func(t *testing.T) {
 			run(t, 8, func(b *bed) { b.configure(routes{plainRoute("/a/", "idempotent", 1)}) }, func(b *bed) {
 				time.Sleep(after)
-				b.addServer("i-first", plain, &fake.Runner{})
+				b.addServer("i-first", plain, &fake.Server{})
 				listed := time.Now()
 				for i := range b.daemons {
 					for b.send(call{method: "GET", path: "/a/x", key: testKey, to: i}).status != http.StatusOK && time.Since(listed) < 10*time.Second {
--- a/robustness/onplatform/store_test.go
+++ b/robustness/onplatform/store_test.go
@@ -13,7 +13,7 @@
 const inForce = 2 * time.Second
 
 func twoKeys(b *bed) {
-	b.addServer("i-1", plain, &fake.Runner{})
+	b.addServer("i-1", plain, &fake.Server{})
 	b.configure(routes{plainRoute("/a/", "idempotent", 1)}, tenant(testKey, otherKey))
 }
 
@@ -35,11 +35,11 @@
 func TestRevokedKeyBehindDeafWatch(t *testing.T) {
 	run(t, 3, twoKeys, func(b *bed) {
 		b.Assert(b.send(call{method: "GET", path: "/a/x", key: otherKey}).status, qt.Equals, 200)
-		b.store.SetDeaf(true)
+		b.store.BlockWatches(true)
 		b.revoke()
 		time.Sleep(time.Second)
 		b.store.Compact()
-		b.store.SetDeaf(false)
+		b.store.BlockWatches(false)
 		time.Sleep(inForce)
 		b.refusesOther()
 	})
@@ -48,11 +48,11 @@
 // TestRevokedKeyWhereStoreRefuses: a daemon that the store does not answer
 // learns of a revoked key from its peers.
 func TestRevokedKeyWhereStoreRefuses(t *testing.T) {
-	for _, outage := range []fake.Outage{fake.Busy, fake.Silent, fake.Reset} {
+	for _, outage := range []fake.Outage{fake.OutageBusy, fake.OutageSilent, fake.OutageReset} {
 		t.Run(string(outage), func(t *testing.T) {
 			run(t, 3, twoKeys, func(b *bed) {
-				b.store.Refuse(b.daemons[0].ip, outage)
-				b.store.Refuse(b.daemons[2].ip, outage)
+				b.store.SetOutageFor(b.daemons[0].ip, outage)
+				b.store.SetOutageFor(b.daemons[2].ip, outage)
 				b.revoke()
 				time.Sleep(inForce)
 				b.refusesOther()
@@ -64,13 +64,13 @@
 // TestConfigurationAfterOutage: what changed is in force within the bound after
 // the store's return.
 func TestConfigurationAfterOutage(t *testing.T) {
-	for _, outage := range []fake.Outage{fake.Busy, fake.Silent, fake.Reset} {
+	for _, outage := range []fake.Outage{fake.OutageBusy, fake.OutageSilent, fake.OutageReset} {
 		t.Run(string(outage), func(t *testing.T) {
 			run(t, 2, twoKeys, func(b *bed) {
 				b.store.SetOutage(outage)
 				time.Sleep(4 * time.Second)
 				b.revoke()
-				b.store.SetOutage(fake.Up)
+				b.store.SetOutage(fake.OutageNone)
 				time.Sleep(inForce + time.Second)
 				b.refusesOther()
 			})
@@ -92,13 +92,13 @@
 
 // TestDrainingServerGetsNoWork: also at a daemon that the store refuses.
 func TestDrainingServerGetsNoWork(t *testing.T) {
-	var leaving *fake.Runner
+	var leaving *fake.Server
 	run(t, 2, func(b *bed) {
-		leaving = b.addServer("i-1", plain, &fake.Runner{})
-		b.addServer("i-2", plain, &fake.Runner{})
+		leaving = b.addServer("i-1", plain, &fake.Server{})
+		b.addServer("i-2", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "idempotent", 1)})
 	}, func(b *bed) {
-		b.store.Refuse(b.daemons[1].ip, fake.Busy)
+		b.store.SetOutageFor(b.daemons[1].ip, fake.OutageBusy)
 		time.Sleep(time.Second)
 		b.listServer("i-1", plain, "draining")
 		time.Sleep(2 * time.Second)
@@ -113,17 +113,17 @@
 // TestEntriesThatLapseInAnOutage: servers that live are used until they are back
 // in the list; one that stays missing is gone.
 func TestEntriesThatLapseInAnOutage(t *testing.T) {
-	var gone *fake.Runner
+	var gone *fake.Server
 	run(t, 1, func(b *bed) {
-		b.addServer("i-1", plain, &fake.Runner{})
-		gone = b.addServer("i-2", plain, &fake.Runner{})
+		b.addServer("i-1", plain, &fake.Server{})
+		gone = b.addServer("i-2", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "idempotent", 1)})
 	}, func(b *bed) {
-		b.store.SetOutage(fake.Reset)
+		b.store.SetOutage(fake.OutageReset)
 		time.Sleep(4 * time.Second)
 		b.store.Remove("servers", "i-1")
 		b.store.Remove("servers", "i-2")
-		b.store.SetOutage(fake.Up)
+		b.store.SetOutage(fake.OutageNone)
 		time.Sleep(1500 * time.Millisecond)
 		b.Check(b.send(call{method: "GET", path: "/a/x", key: testKey}).status, qt.Equals, 200)
 		b.listServer("i-1", plain, "ready")
@@ -139,7 +139,7 @@
 // TestDaemonStartsWhileStoreRefusesIt: it takes the configuration from a peer.
 func TestDaemonStartsWhileStoreRefusesIt(t *testing.T) {
 	run(t, 2, twoKeys, func(b *bed) {
-		b.store.Refuse("10.1.0.3", fake.Busy)
+		b.store.SetOutageFor("10.1.0.3", fake.OutageBusy)
 		late := b.startDaemon(3)
 		time.Sleep(2 * time.Second)
 		b.Check(b.ready(late), qt.IsTrue)
--- a/robustness/onplatform/stream_test.go
+++ b/robustness/onplatform/stream_test.go
@@ -21,7 +21,7 @@
 // TestStreamGoesOnAtAnotherServer: no event is missing, twice or torn, and the
 // answer keeps the head of its first server.
 func TestStreamGoesOnAtAnotherServer(t *testing.T) {
-	var one, two *fake.Runner
+	var one, two *fake.Server
 	run(t, 1, func(b *bed) {
 		// Whichever server is picked first breaks.
 		broken := false
@@ -32,8 +32,8 @@
 			broken = true
 			return breaking(7)(1, nil)
 		}
-		one = b.addServer("i-1", model, &fake.Runner{Events: 20, Behave: behave})
-		two = b.addServer("i-2", model, &fake.Runner{Events: 20, Behave: behave})
+		one = b.addServer("i-1", model, &fake.Server{EventCount: 20, Behave: behave})
+		two = b.addServer("i-2", model, &fake.Server{EventCount: 20, Behave: behave})
 		b.configure(routes{streamRoute("/s/", true, 2)})
 	}, func(b *bed) {
 		got := b.send(call{method: "POST", path: "/s/x", key: testKey, tokens: "150,60"})
@@ -51,16 +51,16 @@
 // TestStreamThatMayNotResumeLooksCut: it is not run again, and what the caller
 // has does not look complete.
 func TestStreamThatMayNotResumeLooksCut(t *testing.T) {
-	var one, two *fake.Runner
+	var one, two *fake.Server
 	run(t, 1, func(b *bed) {
-		one = b.addServer("i-1", model, &fake.Runner{Events: 20, Behave: breaking(7)})
-		two = b.addServer("i-2", model, &fake.Runner{Events: 20, Behave: breaking(7)})
+		one = b.addServer("i-1", model, &fake.Server{EventCount: 20, Behave: breaking(7)})
+		two = b.addServer("i-2", model, &fake.Server{EventCount: 20, Behave: breaking(7)})
 		b.configure(routes{streamRoute("/s/", false, 2)})
 	}, func(b *bed) {
 		got := b.send(call{method: "POST", path: "/s/x", key: testKey, tokens: "150,60"})
 		b.Check(got.cut, qt.IsTrue)
 		b.Check(strings.HasPrefix(events(1, 20), got.body), qt.IsTrue, qt.Commentf("%q", got.body))
-		b.Check(one.Runs(got.id)+two.Runs(got.id), qt.Equals, 1)
+		b.Check(one.RunCount(got.id)+two.RunCount(got.id), qt.Equals, 1)
 	})
 }
 
@@ -70,12 +70,12 @@
 		n := 0
 		behave := func(int, *http.Request) fake.Behaviour {
 			if n++; n == 1 {
-				return fake.Behaviour{Skip: 5}
+				return fake.Behaviour{SkipEvent: 5}
 			}
 			return fake.Behaviour{}
 		}
-		b.addServer("i-1", model, &fake.Runner{Events: 12, Behave: behave})
-		b.addServer("i-2", model, &fake.Runner{Events: 12, Behave: behave})
+		b.addServer("i-1", model, &fake.Server{EventCount: 12, Behave: behave})
+		b.addServer("i-2", model, &fake.Server{EventCount: 12, Behave: behave})
 		b.configure(routes{streamRoute("/s/", true, 2)})
 	}, func(b *bed) {
 		got := b.send(call{method: "POST", path: "/s/x", key: testKey, tokens: "150,60"})
@@ -87,7 +87,7 @@
 // TestCallerResumes: a caller that has events already gets the rest.
 func TestCallerResumes(t *testing.T) {
 	run(t, 1, func(b *bed) {
-		b.addServer("i-1", model, &fake.Runner{Events: 12})
+		b.addServer("i-1", model, &fake.Server{EventCount: 12})
 		b.configure(routes{streamRoute("/s/", true, 2)})
 	}, func(b *bed) {
 		got := b.send(call{method: "POST", path: "/s/x", key: testKey, tokens: "150,60", header: map[string]string{"Last-Event-Id": "9"}})
@@ -116,9 +116,9 @@
 					}
 					return fake.Behaviour{}
 				}
-				b.addServer("i-1", model, &fake.Runner{Events: 12, Behave: behave})
-				b.addServer("i-2", model, &fake.Runner{Events: 12, Behave: behave})
-				b.addServer("i-3", model, &fake.Runner{Events: 12, Behave: behave})
+				b.addServer("i-1", model, &fake.Server{EventCount: 12, Behave: behave})
+				b.addServer("i-2", model, &fake.Server{EventCount: 12, Behave: behave})
+				b.addServer("i-3", model, &fake.Server{EventCount: 12, Behave: behave})
 				b.configure(routes{streamRoute("/s/", true, attempts)})
 			}, func(b *bed) {
 				got := b.send(call{method: "POST", path: "/s/x", key: testKey, tokens: "150,60"})
--- a/robustness/onplatform/uses_test.go
+++ b/robustness/onplatform/uses_test.go
@@ -21,7 +21,7 @@
 	// An allowance is the rate over a window of 8 s and one burst.
 	const allowed = int((8*rate + rate) / cost)
 	run(t, daemons, func(b *bed) {
-		b.addServer("i-1", plain, &fake.Runner{})
+		b.addServer("i-1", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "idempotent", 1)}, limited(rate, rate))
 	}, func(b *bed) {
 		time.Sleep(8 * time.Second)
@@ -59,7 +59,7 @@
 	// Callers ask for seven times the rate, in tenths of a second; before the death for a second.
 	const each, before, after = 7, 10, 50
 	run(t, 0, func(b *bed) {
-		b.addServer("i-1", plain, &fake.Runner{})
+		b.addServer("i-1", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "idempotent", 1)}, limited(rate, rate))
 	}, func(b *bed) {
 		b.bootstrap = true
@@ -95,7 +95,7 @@
 	// Callers ask for seven times the rate, in tenths of a second.
 	const each, before, after = 7, 5, 50
 	run(t, 0, func(b *bed) {
-		b.addServer("i-1", plain, &fake.Runner{})
+		b.addServer("i-1", plain, &fake.Server{})
 		b.configure(routes{plainRoute("/a/", "idempotent", 1)}, limited(rate, rate))
 	}, func(b *bed) {
 		for i := range daemons {
--- a/robustness/soak/deployment_test.go
+++ b/robustness/soak/deployment_test.go
@@ -92,7 +92,7 @@
 // server is a backend server behind a link of its own.
 type server struct {
 	name, service string
-	runner        *fake.Runner
+	runner        *fake.Server
 	http          *httptest.Server
 	link          *link
 
@@ -156,7 +156,7 @@
 }
 
 func (d *deployment) addServer(id, service string) *server {
-	s := &server{id: id, name: id, service: service, runner: &fake.Runner{ID: id}}
+	s := &server{id: id, name: id, service: service, runner: &fake.Server{ID: id}}
 	s.runner.Behave = func(n int, _ *http.Request) fake.Behaviour {
 		b := s.said()
 		b.Delay = 5 * time.Millisecond
@@ -172,7 +172,7 @@
 		return b
 	}
 	if service == modelService {
-		s.runner.Events = eventsOfStream
+		s.runner.EventCount = eventsOfStream
 	}
 	s.http = httptest.NewServer(d.crashOn(s))
 	link, err := newLink(s.http.Listener.Addr().String())
@@ -221,7 +221,7 @@
 	s.starts++
 	d.store.Remove("servers", s.id)
 	s.id = fmt.Sprintf("%s-%d", s.name, s.starts)
-	s.runner.Rename(s.id)
+	s.runner.SetID(s.id)
 	d.put(s, "ready")
 }
 
--- a/robustness/soak/faults_test.go
+++ b/robustness/soak/faults_test.go
@@ -51,22 +51,22 @@
 		breakLink(one(r, d.servers[:6]).link, r, lasts)
 	}},
 	{"store down", func(d *deployment, r *rand.Rand, lasts time.Duration) {
-		d.store.SetOutage(one(r, []fake.Outage{fake.Busy, fake.Silent, fake.Reset}))
+		d.store.SetOutage(one(r, []fake.Outage{fake.OutageBusy, fake.OutageSilent, fake.OutageReset}))
 		time.Sleep(lasts)
-		d.store.SetOutage(fake.Up)
+		d.store.SetOutage(fake.OutageNone)
 	}},
 	{"store loses answers", func(d *deployment, r *rand.Rand, _ time.Duration) { d.store.LoseAnswers(1 + r.IntN(4)) }},
 	{"store writes late", func(d *deployment, r *rand.Rand, lasts time.Duration) { d.store.DelayWrites(1+r.IntN(3), lasts) }},
 	{"store forgets its history", func(d *deployment, _ *rand.Rand, _ time.Duration) { d.store.Compact() }},
 	{"watches are deaf", func(d *deployment, _ *rand.Rand, lasts time.Duration) {
-		d.store.SetDeaf(true)
+		d.store.BlockWatches(true)
 		time.Sleep(lasts)
-		d.store.SetDeaf(false)
+		d.store.BlockWatches(false)
 	}},
 	{"cloud down", func(d *deployment, r *rand.Rand, lasts time.Duration) {
-		d.cloud.SetOutage(one(r, []fake.Outage{fake.Busy, fake.Silent, fake.Reset}))
+		d.cloud.SetOutage(one(r, []fake.Outage{fake.OutageBusy, fake.OutageSilent, fake.OutageReset}))
 		time.Sleep(lasts)
-		d.cloud.SetOutage(fake.Up)
+		d.cloud.SetOutage(fake.OutageNone)
 	}},
 	{"cloud loses answers", func(d *deployment, r *rand.Rand, _ time.Duration) { d.cloud.LoseAnswers(1 + r.IntN(3)) }},
 	{"server drains", func(d *deployment, r *rand.Rand, lasts time.Duration) {
