--- a/capacity/router_test.go
+++ b/capacity/router_test.go
@@ -54,7 +54,7 @@
 		"tenants":  []map[string]any{{"name": "w", "apiKeys": []string{"k"}}},
 	})
 	settings := config.RouterSettings{
-		Kind:   config.KindRouter,
+		Kind:   config.SettingsKindRouter,
 		VM:     config.RouterVM{ID: "vm-1", Zone: "z"},
 		Listen: config.RouterListen{Callers: freeAddress(b), Readiness: freeAddress(b), Peers: freeAddress(b)},
 		Store:  config.RouterAddress{Address: serveLoopback(b, store)},
--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -174,7 +174,7 @@
 // call looks like one that does not exist.
 func (k *call) service(name string, kind config.ServiceKind) (*config.Service, error) {
 	service := k.index.Service(name)
-	if service == nil || service.Kind != kind || !k.workspace.May(name) {
+	if service == nil || service.Kind != kind || !k.workspace.MayCall(name) {
 		return nil, refuse(http.StatusNotFound, "no such "+string(kind)+": "+name).Err()
 	}
 	return service, nil
--- a/internal/callerapi/models.go
+++ b/internal/callerapi/models.go
@@ -35,7 +35,7 @@
 	}
 	entries := []modelEntry{}
 	for _, service := range call.index.Deployment.Services {
-		if service.Kind != config.KindModel || !call.workspace.May(service.Name) {
+		if service.Kind != config.KindModel || !call.workspace.MayCall(service.Name) {
 			continue
 		}
 		names := []string{service.Name}
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -34,7 +34,7 @@
 	if options.Summary {
 		return printSummary(env, explain.Summary(lines))
 	}
-	story, found := explain.Tell(lines, options.RequestID)
+	story, found := explain.BuildTimeline(lines, options.RequestID)
 	if !found {
 		return eris.Errorf("no line names request %s; was the log level below info, or does the ID belong to another attempt?", options.RequestID)
 	}
@@ -67,7 +67,7 @@
 	return lines, broken, eris.Wrapf(err, "read %s", path)
 }
 
-func printSummary(env *Environment, counts []explain.Count) error {
+func printSummary(env *Environment, counts []explain.CauseCount) error {
 	total, unknown := 0, 0
 	for _, c := range counts {
 		total += c.Requests
--- a/internal/cli/router.go
+++ b/internal/cli/router.go
@@ -35,7 +35,7 @@
 		switch {
 		case err != nil:
 			logger.Error("changed settings are not valid and are left alone", "error", err)
-		case after.Same(before):
+		case after.Equal(before):
 			logger.Info("settings read again, nothing has changed")
 		default:
 			logger.Warn("settings have changed; they take effect at the next start")
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -117,7 +117,7 @@
 			continue
 		}
 		for _, candidate := range wanted.Workspaces {
-			if candidate.May(service.Name) {
+			if candidate.MayCall(service.Name) {
 				return candidate.Name, service.Name
 			}
 		}
--- a/internal/cli/show.go
+++ b/internal/cli/show.go
@@ -191,5 +191,5 @@
 	if err != nil {
 		return 0, err
 	}
-	return config.NewIndex(document.Deployment).FleetPrice(), nil
+	return config.NewIndex(document.Deployment).FleetPricePerHour(), nil
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,38 +9,38 @@
 
 // checker finds contradictions between the items of a deployment.
 type checker struct {
-	found    *finding.List
+	findings *finding.List
 	zones    map[string]bool
 	classes  map[string]*VMClass
 	services map[string]*Service
 }
 
-func (m *merged) check(found *finding.List) {
-	c := &checker{found: found, zones: map[string]bool{}, classes: map[string]*VMClass{}, services: map[string]*Service{}}
-	for _, zone := range zip(m.deployment.Zones, m.zones) {
-		c.unique(c.zones[zone.item.Name], "availability zone", zone.item.Name, zone.place)
+func (m *mergedDeployment) check(found *finding.List) {
+	c := &checker{findings: found, zones: map[string]bool{}, classes: map[string]*VMClass{}, services: map[string]*Service{}}
+	for _, zone := range zip(m.deployment.Zones, m.zonePlaces) {
+		c.checkName(c.zones[zone.item.Name], "availability zone", zone.item.Name, zone.place)
 		c.zones[zone.item.Name] = true
 	}
-	for _, class := range zip(m.deployment.VMClasses, m.classes) {
-		c.unique(c.classes[class.item.Name] != nil, "VM class", class.item.Name, class.place)
+	for _, class := range zip(m.deployment.VMClasses, m.vmClassPlaces) {
+		c.checkName(c.classes[class.item.Name] != nil, "VM class", class.item.Name, class.place)
 		c.classes[class.item.Name] = class.item
-		c.vmClass(class)
+		c.checkVMClass(class)
 	}
-	for _, service := range zip(m.deployment.Services, m.services) {
-		c.unique(c.services[service.item.Name] != nil, "service", service.item.Name, service.place)
+	for _, service := range zip(m.deployment.Services, m.servicePlaces) {
+		c.checkName(c.services[service.item.Name] != nil, "service", service.item.Name, service.place)
 		c.services[service.item.Name] = service.item
-		c.service(service)
+		c.checkService(service)
 	}
-	c.allWorkspaces(zip(m.deployment.Workspaces, m.workspaces))
-	c.allRoutes(zip(m.deployment.Routes, m.routes))
+	c.checkWorkspaces(zip(m.deployment.Workspaces, m.workspacePlaces))
+	c.checkRoutes(zip(m.deployment.Routes, m.routePlaces))
 }
 
-func (c *checker) unique(known bool, what, name string, at place) {
+func (c *checker) checkName(known bool, what, name string, at placeFunc) {
 	if known {
-		c.found.Addf(at("name"), "%s %q is defined twice", what, name)
+		c.findings.Addf(at("name"), "%s %q is defined twice", what, name)
 	}
 	if name != "" && !validName(name) {
-		c.found.Addf(at("name"), "%s name %q: use lower-case letters, digits and hyphens", what, name)
+		c.findings.Addf(at("name"), "%s name %q: use lower-case letters, digits and hyphens", what, name)
 	}
 }
 
@@ -48,60 +48,60 @@
 	return strings.Trim(name, "abcdefghijklmnopqrstuvwxyz0123456789-") == ""
 }
 
-func (c *checker) zone(name string, at finding.Place) {
+func (c *checker) checkZone(name string, at finding.Place) {
 	if name != "" && !c.zones[name] {
-		c.found.Addf(at, "availability zone %q is not defined under zones", name)
+		c.findings.Addf(at, "availability zone %q is not defined under zones", name)
 	}
 }
 
-func (c *checker) vmClass(class located[VMClass]) {
+func (c *checker) checkVMClass(class located[VMClass]) {
 	for i, price := range class.item.Prices {
 		path := fmt.Sprintf("prices[%d]", i)
-		c.zone(price.Zone, class.place(path+".zone"))
+		c.checkZone(price.Zone, class.place(path+".zone"))
 		if price.PerHour < 0 {
-			c.found.Addf(class.place(path+".per_hour"), "price must not be negative")
+			c.findings.Addf(class.place(path+".per_hour"), "price must not be negative")
 		}
 	}
 }
 
-func (c *checker) service(service located[Service]) {
+func (c *checker) checkService(service located[Service]) {
 	item := service.item
 	if item.Kind == KindModel && item.Model == nil {
-		c.found.Addf(service.place("kind"), "service %q is of kind model but has no model", item.Name)
+		c.findings.Addf(service.place("kind"), "service %q is of kind model but has no model", item.Name)
 	}
 	if item.Kind == KindPlain && item.Model != nil {
-		c.found.Addf(service.place("model"), "service %q is of kind plain but has a model", item.Name)
+		c.findings.Addf(service.place("model"), "service %q is of kind plain but has a model", item.Name)
 	}
 	if item.Model != nil {
-		c.model(item.Model, service.place)
+		c.checkModel(item.Model, service.place)
 	}
 	for i, pool := range item.Runners {
 		path := fmt.Sprintf("runners[%d]", i)
-		c.zone(pool.Zone, service.place(path+".zone"))
-		c.runnerClass(pool, service.place(path+".class"))
+		c.checkZone(pool.Zone, service.place(path+".zone"))
+		c.checkRunnerClass(pool, service.place(path+".class"))
 		if pool.Count < 0 {
-			c.found.Addf(service.place(path+".count"), "count must not be negative")
+			c.findings.Addf(service.place(path+".count"), "count must not be negative")
 		}
 	}
 }
 
-func (c *checker) model(model *Model, at place) {
+func (c *checker) checkModel(model *Model, at placeFunc) {
 	if model.PrefillRate < 0 {
-		c.found.Addf(at("model.prefill_rate"), "prefill_rate must not be negative")
+		c.findings.Addf(at("model.prefill_rate"), "prefill_rate must not be negative")
 	}
 	if model.MaxBatch < 0 {
-		c.found.Addf(at("model.max_batch"), "max_batch must not be negative")
+		c.findings.Addf(at("model.max_batch"), "max_batch must not be negative")
 	}
 	if model.MaxTokens < 0 {
-		c.found.Addf(at("model.max_tokens"), "max_tokens must not be negative")
+		c.findings.Addf(at("model.max_tokens"), "max_tokens must not be negative")
 	}
 }
 
-func (c *checker) runnerClass(pool RunnerPool, at finding.Place) {
+func (c *checker) checkRunnerClass(pool RunnerPool, at finding.Place) {
 	class, known := c.classes[pool.Class]
 	if !known {
 		if pool.Class != "" {
-			c.found.Addf(at, "VM class %q is not defined under vm_classes", pool.Class)
+			c.findings.Addf(at, "VM class %q is not defined under vm_classes", pool.Class)
 		}
 		return
 	}
@@ -110,79 +110,79 @@
 			return
 		}
 	}
-	c.found.Addf(at, "VM class %q has no %s price in availability zone %q", pool.Class, pool.Market, pool.Zone)
+	c.findings.Addf(at, "VM class %q has no %s price in availability zone %q", pool.Class, pool.Market, pool.Zone)
 }
 
-func (c *checker) allWorkspaces(workspaces []located[Workspace]) {
+func (c *checker) checkWorkspaces(workspaces []located[Workspace]) {
 	names := map[string]bool{}
 	owners := map[KeyDigest]string{}
 	for _, workspace := range workspaces {
 		item := workspace.item
-		c.unique(names[item.Name], "workspace", item.Name, workspace.place)
+		c.checkName(names[item.Name], "workspace", item.Name, workspace.place)
 		names[item.Name] = true
 		for i, digest := range item.KeySHA256 {
 			at := workspace.place(fmt.Sprintf("key_sha256[%d]", i))
 			if owner, taken := owners[digest]; taken && digest != "" {
-				c.found.Addf(at, "key already belongs to workspace %q", owner)
+				c.findings.Addf(at, "key already belongs to workspace %q", owner)
 			}
 			owners[digest] = item.Name
 		}
 		for i, name := range item.Services {
-			c.serviceName(name, workspace.place(fmt.Sprintf("services[%d]", i)))
+			c.checkServiceName(name, workspace.place(fmt.Sprintf("services[%d]", i)))
 		}
-		c.zone(item.HomeZone, workspace.place("home_zone"))
+		c.checkZone(item.HomeZone, workspace.place("home_zone"))
 		if item.Weight < 0 {
-			c.found.Addf(workspace.place("weight"), "weight must not be negative")
+			c.findings.Addf(workspace.place("weight"), "weight must not be negative")
 		}
 		if item.Limits.RequestsPerSecond < 0 || item.Limits.InFlight < 0 {
-			c.found.Addf(workspace.place("limits"), "limits must not be negative")
+			c.findings.Addf(workspace.place("limits"), "limits must not be negative")
 		}
 	}
 }
 
-func (c *checker) serviceName(name string, at finding.Place) {
+func (c *checker) checkServiceName(name string, at finding.Place) {
 	if name != "" && c.services[name] == nil {
-		c.found.Addf(at, "service %q is not defined under services", name)
+		c.findings.Addf(at, "service %q is not defined under services", name)
 	}
 }
 
-func (c *checker) allRoutes(routes []located[Route]) {
+func (c *checker) checkRoutes(routes []located[Route]) {
 	seen := map[string]bool{}
 	for _, route := range routes {
-		c.route(route, seen)
+		c.checkRoute(route, seen)
 	}
 }
 
-func (c *checker) route(route located[Route], seen map[string]bool) {
+func (c *checker) checkRoute(route located[Route], seen map[string]bool) {
 	item := route.item
-	c.serviceName(item.Service, route.place("service"))
+	c.checkServiceName(item.Service, route.place("service"))
 	for _, method := range methodsOrAny(item.Methods) {
 		key := item.Service + " " + item.Path + " " + method
 		if seen[key] {
-			c.found.Addf(route.place("path"), "route %s%s is defined twice for method %s", item.Service, item.Path, method)
+			c.findings.Addf(route.place("path"), "route %s%s is defined twice for method %s", item.Service, item.Path, method)
 		}
 		seen[key] = true
 	}
 	service := c.services[item.Service]
 	if service != nil && service.Kind == KindModel {
-		c.modelRoute(route)
+		c.checkModelRoute(route)
 	}
 	if service != nil && service.Kind == KindPlain && !strings.HasPrefix(item.Path, "/") {
-		c.found.Addf(route.place("path"), "path of a plain service must begin with /")
+		c.findings.Addf(route.place("path"), "path of a plain service must begin with /")
 	}
 	if objective := item.Targets.Objective; objective <= 0 || objective >= 1 {
-		c.found.Addf(route.place("targets.objective"), "objective must lie between 0 and 1")
+		c.findings.Addf(route.place("targets.objective"), "objective must lie between 0 and 1")
 	}
 }
 
-// modelRoute rejects what contradicts the nature of a model: generation can
+// checkModelRoute rejects what contradicts the nature of a model: generation can
 // always be repeated, and a model has no paths.
-func (c *checker) modelRoute(route located[Route]) {
+func (c *checker) checkModelRoute(route located[Route]) {
 	if route.item.Path != "" {
-		c.found.Addf(route.place("path"), "a model has no paths")
+		c.findings.Addf(route.place("path"), "a model has no paths")
 	}
 	if !route.item.Idempotent {
-		c.found.Addf(route.place("idempotent"), "a model route cannot be non-idempotent")
+		c.findings.Addf(route.place("idempotent"), "a model route cannot be non-idempotent")
 	}
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,8 +13,8 @@
 	_ "github.com/plankridge/plankridge/internal/standin/fixedseed"
 )
 
-// mistakes returns the findings of an invalid text.
-func mistakes(c *qt.C, text string) []string {
+// findingLines returns the findings of an invalid text.
+func findingLines(c *qt.C, text string) []string {
 	_, err := Load([]File{{Name: "a.yaml", Content: []byte(text)}})
 	c.Assert(err, qt.IsNotNil)
 	var lines []string
@@ -28,7 +28,7 @@
 	c := qt.New(t)
 	raw, err := os.ReadFile("../../testdata/five-mistakes.yaml")
 	c.Assert(err, qt.IsNil)
-	c.Assert(mistakes(c, string(raw)), qt.DeepEquals, []string{
+	c.Assert(findingLines(c, string(raw)), qt.DeepEquals, []string{
 		`a.yaml:8:5: services[0]: missing field "kind"`,
 		`a.yaml:10:5: services[0]: unknown field "runers" (did you mean "runners"?)`,
 		`a.yaml:11:5: services[0]: field "name" is given twice`,
@@ -52,7 +52,7 @@
 		"zones: [": "invalid YAML",
 		"":         "file is empty",
 	} {
-		c.Check(strings.Join(mistakes(c, text), "\n"), qt.Contains, want)
+		c.Check(strings.Join(findingLines(c, text), "\n"), qt.Contains, want)
 	}
 }
 
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestRouteWithLongestPrefixDecides(t *testing.T) {
+func TestLongestPrefixRouteWins(t *testing.T) {
 	c := qt.New(t)
 	service := Service{Name: "s", Kind: KindPlain}
 	index := NewIndex(&Deployment{Services: []Service{service}, Routes: []Route{
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -23,7 +23,7 @@
 func ReadFiles(paths []string) ([]File, error) {
 	var files []File
 	for _, path := range paths {
-		names, err := expand(path)
+		names, err := expandPath(path)
 		if err != nil {
 			return nil, err
 		}
@@ -38,7 +38,7 @@
 	return files, nil
 }
 
-func expand(path string) ([]string, error) {
+func expandPath(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, eris.Wrap(err, "read file to apply")
@@ -61,30 +61,30 @@
 	return names, nil
 }
 
-// place returns the position of an item of the merged deployment.
-type place func(suffix string) finding.Place
+// placeFunc returns the position of an item of the merged deployment.
+type placeFunc func(suffix string) finding.Place
 
 // located is an item of a section together with where it stands.
 type located[T any] struct {
 	item  *T
-	place place
+	place placeFunc
 }
 
-// merged is the deployment with the place of each item.
-type merged struct {
-	deployment Deployment
-	zones      []place
-	classes    []place
-	services   []place
-	workspaces []place
-	routes     []place
+// mergedDeployment is the deployment with the place of each item.
+type mergedDeployment struct {
+	deployment      Deployment
+	zonePlaces      []placeFunc
+	vmClassPlaces   []placeFunc
+	servicePlaces   []placeFunc
+	workspacePlaces []placeFunc
+	routePlaces     []placeFunc
 }
 
 // Load decodes and checks the files as one deployment. The error is a
 // *finding.Error with every mistake in any of them.
 func Load(files []File) (*Deployment, error) {
 	var found finding.List
-	all := &merged{}
+	all := &mergedDeployment{}
 	for _, file := range files {
 		var part Deployment
 		source := strictyaml.Decode(file.Name, file.Content, &part, &found)
@@ -98,16 +98,16 @@
 	return &all.deployment, nil
 }
 
-func (m *merged) add(part Deployment, source *strictyaml.Source) {
+func (m *mergedDeployment) add(part Deployment, source *strictyaml.Source) {
 	d := &m.deployment
-	d.Zones = appendLocated(d.Zones, part.Zones, &m.zones, source, "zones")
-	d.VMClasses = appendLocated(d.VMClasses, part.VMClasses, &m.classes, source, "vm_classes")
-	d.Services = appendLocated(d.Services, part.Services, &m.services, source, "services")
-	d.Workspaces = appendLocated(d.Workspaces, part.Workspaces, &m.workspaces, source, "workspaces")
-	d.Routes = appendLocated(d.Routes, part.Routes, &m.routes, source, "routes")
+	d.Zones = appendLocated(d.Zones, part.Zones, &m.zonePlaces, source, "zones")
+	d.VMClasses = appendLocated(d.VMClasses, part.VMClasses, &m.vmClassPlaces, source, "vm_classes")
+	d.Services = appendLocated(d.Services, part.Services, &m.servicePlaces, source, "services")
+	d.Workspaces = appendLocated(d.Workspaces, part.Workspaces, &m.workspacePlaces, source, "workspaces")
+	d.Routes = appendLocated(d.Routes, part.Routes, &m.routePlaces, source, "routes")
 }
 
-func appendLocated[T any](all, part []T, places *[]place, source *strictyaml.Source, section string) []T {
+func appendLocated[T any](all, part []T, places *[]placeFunc, source *strictyaml.Source, section string) []T {
 	for i := range part {
 		path := fmt.Sprintf("%s[%d]", section, i)
 		*places = append(*places, func(suffix string) finding.Place {
@@ -120,7 +120,7 @@
 	return append(all, part...)
 }
 
-func zip[T any](items []T, places []place) []located[T] {
+func zip[T any](items []T, places []placeFunc) []located[T] {
 	pairs := make([]located[T], len(items))
 	for i := range items {
 		pairs[i] = located[T]{item: &items[i], place: places[i]}
--- a/internal/config/lookup.go
+++ b/internal/config/lookup.go
@@ -72,8 +72,8 @@
 	return x.prices[priceKey{class, zone, market}]
 }
 
-// May reports whether the workspace may call the service.
-func (w *Workspace) May(service string) bool {
+// MayCall reports whether the workspace may call the service.
+func (w *Workspace) MayCall(service string) bool {
 	return slices.Contains(w.Services, service)
 }
 
@@ -83,7 +83,7 @@
 func (x *Index) Route(service *Service, method, path string) Route {
 	var best *Route
 	for _, route := range x.routes[service.Name] {
-		if !route.fits(method, path) {
+		if !route.matches(method, path) {
 			continue
 		}
 		if best == nil || len(route.Path) > len(best.Path) {
@@ -98,7 +98,7 @@
 	return fallback
 }
 
-func (r *Route) fits(method, path string) bool {
+func (r *Route) matches(method, path string) bool {
 	if len(r.Methods) > 0 && !slices.Contains(r.Methods, method) {
 		return false
 	}
@@ -117,8 +117,8 @@
 	return false
 }
 
-// FleetPrice returns the price per hour of all runners of the deployment.
-func (x *Index) FleetPrice() float64 {
+// FleetPricePerHour returns the price per hour of all runners of the deployment.
+func (x *Index) FleetPricePerHour() float64 {
 	total := 0.0
 	for _, service := range x.Deployment.Services {
 		for _, pool := range service.Runners {
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -30,11 +30,13 @@
 // SettingsKind is the kind of a settings file.
 type SettingsKind string
 
-// KindRouter marks the settings of a daemon on the users' platform.
-const KindRouter SettingsKind = "router"
+// SettingsKindRouter marks the settings of a daemon on the users' platform.
+const SettingsKindRouter SettingsKind = "router"
 
 // UnmarshalText accepts the known kinds only.
-func (k *SettingsKind) UnmarshalText(text []byte) error { return oneOf(text, k, KindRouter) }
+func (k *SettingsKind) UnmarshalText(text []byte) error {
+	return parseOneOf(text, k, SettingsKindRouter)
+}
 
 // RouterVM says who and where the daemon is.
 type RouterVM struct {
@@ -79,14 +81,14 @@
 	// UsageDue how long after its end a report is due.
 	UsageWindow Duration `yaml:"usage_window"`
 	UsageDue    Duration `yaml:"usage_due"`
-	// QuotaOver and QuotaSlack are how far a workspace may get above its
+	// QuotaOverShare and QuotaSlackTokens are how far a workspace may get above its
 	// allowance in any QuotaWindow: a share of it, and tokens besides.
-	QuotaWindow Duration `yaml:"quota_window"`
-	QuotaOver   float64  `yaml:"quota_over"`
-	QuotaSlack  float64  `yaml:"quota_slack"`
-	// Leaving is how long a backend server that leaves may be sent requests, from when the store
+	QuotaWindow      Duration `yaml:"quota_window"`
+	QuotaOverShare   float64  `yaml:"quota_over"`
+	QuotaSlackTokens float64  `yaml:"quota_slack"`
+	// LeavingLimit is how long a backend server that leaves may be sent requests, from when the store
 	// has taken over that it does. Without it DefaultDrainBound holds.
-	Leaving Duration `yaml:"leaving"`
+	LeavingLimit Duration `yaml:"leaving"`
 	// RollOutShare and RollOutSlack are how many requests a bad version may get while a
 	// service moves to it: a share of all, and a number besides. RollOutStop is how long after
 	// its 50th bad answer it may get the last. Without them versions of servers do not matter.
@@ -101,10 +103,10 @@
 
 // DrainBound returns how long a backend server that leaves may be sent requests.
 func (b RouterBounds) DrainBound() time.Duration {
-	if b.Leaving <= 0 {
+	if b.LeavingLimit <= 0 {
 		return DefaultDrainBound
 	}
-	return b.Leaving.Std()
+	return b.LeavingLimit.Std()
 }
 
 // LoadRouterSettings reads a router's settings from a file.
@@ -137,7 +139,7 @@
 			found.Addf(source.Place(path), "%s: must be greater than zero", path)
 		}
 	}
-	if settings.Bounds.Leaving < 0 {
+	if settings.Bounds.LeavingLimit < 0 {
 		found.Addf(source.Place("bounds.leaving"), "bounds.leaving: must not be negative")
 	}
 	settings.checkAddresses(source, &found)
@@ -191,8 +193,8 @@
 	}
 	var found finding.List
 	strictyaml.Decode("", raw, &head, &found)
-	return head.Kind == string(KindRouter)
+	return head.Kind == string(SettingsKindRouter)
 }
 
-// Same reports whether two settings are equal.
-func (s RouterSettings) Same(other RouterSettings) bool { return reflect.DeepEqual(s, other) }
+// Equal reports whether two settings are equal.
+func (s RouterSettings) Equal(other RouterSettings) bool { return reflect.DeepEqual(s, other) }
--- a/internal/config/router_test.go
+++ b/internal/config/router_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// rendered is deploy/settings.yaml.tmpl as the platform fills it in.
-const rendered = `kind: router
+// renderedSettings is deploy/settings.yaml.tmpl as the platform fills it in.
+const renderedSettings = `kind: router
 vm:
   id: front-hall-nord-1
   zone: hall-nord
@@ -40,16 +40,16 @@
 
 func TestRouterSettings(t *testing.T) {
 	c := qt.New(t)
-	c.Assert(IsRouterSettings([]byte(rendered)), qt.IsTrue)
-	got, err := ParseRouterSettings("s.yaml", []byte(rendered))
+	c.Assert(IsRouterSettings([]byte(renderedSettings)), qt.IsTrue)
+	got, err := ParseRouterSettings("s.yaml", []byte(renderedSettings))
 	c.Assert(err, qt.IsNil)
 	c.Check(got.VM.ID, qt.Equals, "front-hall-nord-1")
 	c.Check(got.Bounds.Lease.Std(), qt.Equals, 3*time.Second)
 	c.Check(got.Bounds.RetryExtra, qt.Equals, 52.0)
 	c.Check(got.Peers.Seeds, qt.HasLen, 2)
-	other, err := ParseRouterSettings("s.yaml", []byte(rendered))
+	other, err := ParseRouterSettings("s.yaml", []byte(renderedSettings))
 	c.Assert(err, qt.IsNil)
-	c.Check(got.Same(other), qt.IsTrue)
+	c.Check(got.Equal(other), qt.IsTrue)
 }
 
 func TestRouterSettingsFindings(t *testing.T) {
@@ -61,7 +61,7 @@
 		"retry_ratio: 0.2", "retry_ratio: -1",
 		"retry_window: 10s", "retry_window: 0s",
 		"  usage_window: 5s\n", "  usage_windw: 5s\n",
-	).Replace(rendered)
+	).Replace(renderedSettings)
 	_, err := ParseRouterSettings("s.yaml", []byte(bad))
 	c.Assert(err, qt.IsNotNil)
 	for _, want := range []string{"zone", "s.yaml:7:", "bounds.drain", "retry_ratio", "bounds.retry_window", "usage_windw", "bounds.usage_window"} {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -95,22 +95,22 @@
 	AnswerBytes  int      `yaml:"answer_bytes"`
 	ReadTimeout  Duration `yaml:"read_timeout"`
 	WriteTimeout Duration `yaml:"write_timeout"`
-	// HeldBytes bounds the memory of finished answers that are kept for late
+	// HeldAnswerBytes bounds the memory of finished answers that are kept for late
 	// readers.
-	HeldBytes int `yaml:"held_bytes"`
-	// CopyBytes bounds the memory of copies kept for other daemons.
-	CopyBytes int `yaml:"copy_bytes"`
-	// AnswerKept is how long a finished answer can be read again.
-	AnswerKept Duration `yaml:"answer_kept"`
+	HeldAnswerBytes int `yaml:"held_bytes"`
+	// RequestCopyBytes bounds the memory of copies kept for other daemons.
+	RequestCopyBytes int `yaml:"copy_bytes"`
+	// AnswerRetention is how long a finished answer can be read again.
+	AnswerRetention Duration `yaml:"answer_kept"`
 	// ResumeGrace is how long an idempotent request runs on after its last
 	// reader has gone.
 	ResumeGrace Duration `yaml:"resume_grace"`
-	// MaxWork is the longest time from acceptance to the end of a request.
-	MaxWork Duration `yaml:"max_work"`
-	// TryTimeout is the longest silence of an engine within one attempt.
-	TryTimeout Duration `yaml:"try_timeout"`
-	// PlainTryLimit is the longest time of one attempt at a plain service.
-	PlainTryLimit Duration `yaml:"plain_try_limit"`
+	// MaxRequestTime is the longest time from acceptance to the end of a request.
+	MaxRequestTime Duration `yaml:"max_work"`
+	// AttemptIdleTimeout is the longest silence of an engine within one attempt.
+	AttemptIdleTimeout Duration `yaml:"try_timeout"`
+	// PlainAttemptTimeout is the longest time of one attempt at a plain service.
+	PlainAttemptTimeout Duration `yaml:"plain_try_limit"`
 }
 
 // Drain says how a daemon shuts down.
@@ -159,8 +159,8 @@
 		"limits.body_bytes":   s.Limits.BodyBytes,
 		"limits.header_bytes": s.Limits.HeaderBytes,
 		"limits.answer_bytes": s.Limits.AnswerBytes,
-		"limits.held_bytes":   s.Limits.HeldBytes,
-		"limits.copy_bytes":   s.Limits.CopyBytes,
+		"limits.held_bytes":   s.Limits.HeldAnswerBytes,
+		"limits.copy_bytes":   s.Limits.RequestCopyBytes,
 	}
 	for path, size := range sizes {
 		if size <= 0 {
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -32,8 +32,8 @@
 // Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// oneOf parses a closed set of words.
-func oneOf[T ~string](text []byte, out *T, allowed ...T) error {
+// parseOneOf parses a closed set of words.
+func parseOneOf[T ~string](text []byte, out *T, allowed ...T) error {
 	for _, word := range allowed {
 		if string(text) == string(word) {
 			*out = word
@@ -54,7 +54,7 @@
 
 // UnmarshalText accepts the known kinds only.
 func (k *ServiceKind) UnmarshalText(text []byte) error {
-	return oneOf(text, k, KindModel, KindPlain)
+	return parseOneOf(text, k, KindModel, KindPlain)
 }
 
 // Market says how a VM is bought.
@@ -68,7 +68,7 @@
 
 // UnmarshalText accepts the known markets only.
 func (m *Market) UnmarshalText(text []byte) error {
-	return oneOf(text, m, MarketReclaimable, MarketOnDemand)
+	return parseOneOf(text, m, MarketReclaimable, MarketOnDemand)
 }
 
 // Class says whether a caller waits for the answer.
@@ -82,7 +82,7 @@
 
 // UnmarshalText accepts the known classes only.
 func (c *Class) UnmarshalText(text []byte) error {
-	return oneOf(text, c, ClassAwaited, ClassDeferrable)
+	return parseOneOf(text, c, ClassAwaited, ClassDeferrable)
 }
 
 // Fencing says whether the backend servers of a service check the fencing
@@ -97,7 +97,7 @@
 
 // UnmarshalText accepts the known words only.
 func (f *Fencing) UnmarshalText(text []byte) error {
-	return oneOf(text, f, FencingChecked, FencingIgnored)
+	return parseOneOf(text, f, FencingChecked, FencingIgnored)
 }
 
 // KeyDigest is the SHA-256 digest of a bearer key, in hexadecimal. The keys
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -156,7 +156,7 @@
 		Network:     options.Network,
 		Credentials: d.creds.Client,
 		Follower:    d.follower,
-		Copies:      backup.NewStore(d.settings.Limits.CopyBytes),
+		Copies:      backup.NewStore(d.settings.Limits.RequestCopyBytes),
 		Quarantine:  d.quarantine,
 		Advice:      d.registry,
 		Logger:      d.logger,
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -16,7 +16,7 @@
 )
 
 func (d *Dispatcher) tryPlain(ctx context.Context, flight *Flight, choice route.Choice, slot *discovery.Slot) result {
-	ctx, stop := context.WithTimeoutCause(ctx, d.options.Limits.PlainTryLimit.Std(), errSilent)
+	ctx, stop := context.WithTimeoutCause(ctx, d.options.Limits.PlainAttemptTimeout.Std(), errSilent)
 	defer stop()
 	if flight.spec.Idempotent() {
 		var cancel context.CancelCauseFunc
@@ -67,7 +67,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	go cancelOnEvacuate(ctx, slot.Evacuate, cancel)
-	silence := time.AfterFunc(d.options.Limits.TryTimeout.Std(), func() { cancel(errSilent) })
+	silence := time.AfterFunc(d.options.Limits.AttemptIdleTimeout.Std(), func() { cancel(errSilent) })
 	defer silence.Stop()
 
 	stream := &modelStream{dispatcher: d, flight: flight, slot: slot, predicted: choice.Wait, attempt: flight.attempts()}
@@ -77,7 +77,7 @@
 		if !stream.matches(&event) {
 			return nil
 		}
-		silence.Reset(d.options.Limits.TryTimeout.Std())
+		silence.Reset(d.options.Limits.AttemptIdleTimeout.Std())
 		return stream.handleEvent(event)
 	})
 	if err == nil && stream.finish == nil {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -173,7 +173,7 @@
 	go func() {
 		defer d.active.Done()
 		defer cancel(nil)
-		runCtx, stop := context.WithTimeoutCause(ctx, d.options.Limits.MaxWork.Std(), errWorkTooLong)
+		runCtx, stop := context.WithTimeoutCause(ctx, d.options.Limits.MaxRequestTime.Std(), errWorkTooLong)
 		defer stop()
 		d.run(runCtx, flight)
 		d.finish(flight)
@@ -249,8 +249,8 @@
 	now := time.Now()
 	for len(d.finished) > 0 {
 		oldest := d.finished[0]
-		expired := now.Sub(oldest.endedAt) > d.options.Limits.AnswerKept.Std()
-		if !expired && d.heldBytes <= d.options.Limits.HeldBytes {
+		expired := now.Sub(oldest.endedAt) > d.options.Limits.AnswerRetention.Std()
+		if !expired && d.heldBytes <= d.options.Limits.HeldAnswerBytes {
 			break
 		}
 		d.finished = d.finished[1:]
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	// queueLines bounds the lines that wait for the writer: at 300 bytes a line
+	// maxQueuedLines bounds the lines that wait for the writer: at 300 bytes a line
 	// about 1.2 MB.
-	queueLines = 4096
-	// flushBytes is the most that is written at once.
-	flushBytes = 64 << 10
-	// closeWait is how long Close waits for a writer that does not take lines.
-	closeWait = 300 * time.Millisecond
+	maxQueuedLines = 4096
+	// maxFlushBytes is the most that is written at once.
+	maxFlushBytes = 64 << 10
+	// closeTimeout is how long Close waits for a writer that does not take lines.
+	closeTimeout = 300 * time.Millisecond
 )
 
 // Writer passes lines on without ever blocking. It implements io.Writer.
 type Writer struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Int64
-	done    chan struct{}
-	closing sync.Once
-	quit    chan struct{}
+	out       io.Writer
+	lines     chan []byte
+	dropped   atomic.Int64
+	done      chan struct{}
+	closeOnce sync.Once
+	quit      chan struct{}
 }
 
 // NewWriter returns a writer in front of out.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, queueLines), done: make(chan struct{}), quit: make(chan struct{})}
+	w := &Writer{out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{}), quit: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -55,10 +55,10 @@
 
 // Close writes what waits, for a short time.
 func (w *Writer) Close() {
-	w.closing.Do(func() { close(w.quit) })
+	w.closeOnce.Do(func() { close(w.quit) })
 	select {
 	case <-w.done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
 
@@ -84,7 +84,7 @@
 func (w *Writer) flush(line []byte, told int64) int64 {
 	var buffer bytes.Buffer
 	buffer.Write(line)
-	w.drain(&buffer)
+	w.appendQueued(&buffer)
 	dropped := w.dropped.Load()
 	if dropped > told {
 		buffer.WriteString(`{"level":"WARN","msg":"log lines dropped","total":` + strconv.FormatInt(dropped, 10) + "}\n")
@@ -94,9 +94,9 @@
 	return dropped
 }
 
-// drain takes the lines that wait already.
-func (w *Writer) drain(buffer *bytes.Buffer) {
-	for buffer.Len() < flushBytes {
+// appendQueued takes the lines that wait already.
+func (w *Writer) appendQueued(buffer *bytes.Buffer) {
+	for buffer.Len() < maxFlushBytes {
 		select {
 		case line := <-w.lines:
 			buffer.Write(line)
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -11,25 +11,25 @@
 
 // The causes.
 const (
-	CauseServed      Cause = "served"
-	CauseUnknown     Cause = "not named by the log"
-	CauseCallerLeft  Cause = "the caller left"
-	CauseNoConfig    Cause = "the daemon had no configuration yet"
-	CauseKey         Cause = "the key was not known under the configuration in force"
-	CauseRoute       Cause = "no route under the configuration in force"
-	CauseRequest     Cause = "the request itself was not acceptable"
-	CauseAllowance   Cause = "the workspace was above its allowance"
-	CauseEndsServers Cause = "the request ended the servers that ran it and is held back"
-	CauseNoServer    Cause = "the service had no backend server"
-	CauseAtLimits    Cause = "all servers of the service had asked for rest or were at the limits that they name"
-	CauseOverload    Cause = "the servers were too busy to answer in time"
-	CauseOwnSize     Cause = "the request was predicted to be late by its own size"
-	CauseUnreachable Cause = "no backend server could be reached"
-	CauseDeclined    Cause = "the servers declined for lack of room or had gone"
-	CauseServerError Cause = "a server answered with a failure of its own"
-	CauseLost        Cause = "a server ran the request and its answer was lost or broken; it may not be repeated"
-	CauseRepeats     Cause = "attempts failed and no further one was allowed"
-	CauseTimeout     Cause = "the route's timeout or the caller's limit was reached"
+	CauseServed          Cause = "served"
+	CauseUnknown         Cause = "not named by the log"
+	CauseCallerLeft      Cause = "the caller left"
+	CauseNoConfig        Cause = "the daemon had no configuration yet"
+	CauseUnknownKey      Cause = "the key was not known under the configuration in force"
+	CauseNoRoute         Cause = "no route under the configuration in force"
+	CauseBadRequest      Cause = "the request itself was not acceptable"
+	CauseAboveAllowance  Cause = "the workspace was above its allowance"
+	CauseEndsServers     Cause = "the request ended the servers that ran it and is held back"
+	CauseNoServer        Cause = "the service had no backend server"
+	CauseServersAtLimits Cause = "all servers of the service had asked for rest or were at the limits that they name"
+	CauseOverload        Cause = "the servers were too busy to answer in time"
+	CauseRequestSize     Cause = "the request was predicted to be late by its own size"
+	CauseUnreachable     Cause = "no backend server could be reached"
+	CauseDeclined        Cause = "the servers declined for lack of room or had gone"
+	CauseServerError     Cause = "a server answered with a failure of its own"
+	CauseAnswerLost      Cause = "a server ran the request and its answer was lost or broken; it may not be repeated"
+	CauseNoMoreAttempts  Cause = "attempts failed and no further one was allowed"
+	CauseTimeout         Cause = "the route's timeout or the caller's limit was reached"
 )
 
 // reasonAtLimits is that of a request for which all servers were passed over.
@@ -41,11 +41,11 @@
 // causeOf names the cause from a request's own lines.
 func causeOf(lines []Line) Cause {
 	l := lines[len(lines)-1]
-	if l.Message == msgAtTheDoor {
-		return causeAtTheDoor(l.Reason)
+	if l.Message == msgRejected {
+		return causeOfRejection(l.Reason)
 	}
 	switch {
-	case l.Message != msgEnded:
+	case l.Message != msgRequestEnded:
 		return CauseUnknown
 	case l.Outcome == "caller-left":
 		return CauseCallerLeft
@@ -57,16 +57,16 @@
 	return causeOfFailure(l)
 }
 
-func causeAtTheDoor(reason string) Cause {
+func causeOfRejection(reason string) Cause {
 	switch {
 	case strings.HasPrefix(reason, "no configuration"):
 		return CauseNoConfig
 	case strings.HasPrefix(reason, "key"):
-		return CauseKey
+		return CauseUnknownKey
 	case strings.HasPrefix(reason, "no route"):
-		return CauseRoute
+		return CauseNoRoute
 	case strings.HasPrefix(reason, "body"):
-		return CauseRequest
+		return CauseBadRequest
 	}
 	return CauseUnknown
 }
@@ -76,13 +76,13 @@
 func causeOfFailure(l Line) Cause {
 	switch l.Reason {
 	case "workspace is above its allowance":
-		return CauseAllowance
+		return CauseAboveAllowance
 	case "request ends the servers that run it":
 		return CauseEndsServers
 	case "service has no backend server":
 		return CauseNoServer
 	case reasonAtLimits:
-		return CauseAtLimits
+		return CauseServersAtLimits
 	case "predicted wait is too long":
 		return overloadOrSize(l.Attempts)
 	case "no backend server could be reached":
@@ -102,9 +102,9 @@
 	case strings.HasPrefix(last, "status-"):
 		return CauseServerError
 	case l.Reason == "an earlier attempt may have run" || (l.Outcome == "cut" && slices.Contains(lostResults, last)):
-		return CauseLost
+		return CauseAnswerLost
 	case slices.Contains(lostResults, last):
-		return CauseRepeats
+		return CauseNoMoreAttempts
 	}
 	return CauseUnknown
 }
@@ -116,21 +116,21 @@
 		return CauseOverload
 	}
 	last := attempts[len(attempts)-1]
-	if last.OwnMS > 0 && 2*last.OwnMS > last.WaitMS {
-		return CauseOwnSize
+	if last.IdleMS > 0 && 2*last.IdleMS > last.PredictedMS {
+		return CauseRequestSize
 	}
 	return CauseOverload
 }
 
-// Count is the number of requests with a cause.
-type Count struct {
+// CauseCount is the number of requests with a cause.
+type CauseCount struct {
 	Cause    Cause
 	Requests int
 }
 
 // Summary counts the causes of all requests that were not served, the most
 // frequent first.
-func Summary(lines []Line) []Count {
+func Summary(lines []Line) []CauseCount {
 	byRequest := map[string][]Line{}
 	for _, l := range lines {
 		if l.RequestID != "" {
@@ -143,11 +143,11 @@
 			counts[cause]++
 		}
 	}
-	var out []Count
+	var out []CauseCount
 	for cause, n := range counts {
-		out = append(out, Count{cause, n})
+		out = append(out, CauseCount{cause, n})
 	}
-	slices.SortFunc(out, func(a, b Count) int {
+	slices.SortFunc(out, func(a, b CauseCount) int {
 		return cmp.Or(cmp.Compare(b.Requests, a.Requests), cmp.Compare(a.Cause, b.Cause))
 	})
 	return out
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -18,22 +18,22 @@
 // Messages of the log lines that matter here. internal/forward, internal/router
 // and platform write them.
 const (
-	msgEnded     = "request ended"
-	msgAtTheDoor = "request refused at the door"
-	msgConfig    = "configuration in force"
-	msgListed    = "server listed"
-	msgGone      = "server gone from the list"
-	msgChanged   = "servers changed"
-	msgRestarted = "server has started again"
-	msgStoreLost = "store does not answer"
-	msgStoreBack = "store answers again"
-	msgStarted   = "daemon started"
-	msgEnding    = "server has ended under requests"
-	msgHeld      = "request is held back"
-	msgShutDown  = "shutting down"
-	msgLimit     = "server's limit changed"
-	msgRest      = "server declined and asked for rest"
-	msgLeaves    = "server leaves by its own announcement"
+	msgRequestEnded    = "request ended"
+	msgRejected        = "request refused at the door"
+	msgConfig          = "configuration in force"
+	msgServerListed    = "server listed"
+	msgServerGone      = "server gone from the list"
+	msgServersChanged  = "servers changed"
+	msgServerRestarted = "server has started again"
+	msgStoreLost       = "store does not answer"
+	msgStoreBack       = "store answers again"
+	msgStarted         = "daemon started"
+	msgServerEnded     = "server has ended under requests"
+	msgHeldBack        = "request is held back"
+	msgShutDown        = "shutting down"
+	msgServerLimit     = "server's limit changed"
+	msgServerRest      = "server declined and asked for rest"
+	msgServerLeaving   = "server leaves by its own announcement"
 )
 
 // Attempt is one sending of a request, as the log shows it.
@@ -41,15 +41,15 @@
 	Server string `json:"server"`
 	Zone   string `json:"zone"`
 	Result string `json:"result"`
-	// AtMS is when the attempt began, in milliseconds since the request arrived,
+	// StartMS is when the attempt began, in milliseconds since the request arrived,
 	// and TookMS how long it lasted.
-	AtMS   int64 `json:"at_ms"`
-	TookMS int64 `json:"took_ms"`
-	// WaitMS is the predicted time to the first event.
-	WaitMS int64 `json:"wait_ms"`
-	// OwnMS is the part of it that the request would take on an idle server, Learned
+	StartMS int64 `json:"at_ms"`
+	TookMS  int64 `json:"took_ms"`
+	// PredictedMS is the predicted time to the first event.
+	PredictedMS int64 `json:"wait_ms"`
+	// IdleMS is the part of it that the request would take on an idle server, Learned
 	// whether that comes from what was seen of the engines.
-	OwnMS   int64 `json:"own_ms"`
+	IdleMS  int64 `json:"own_ms"`
 	Learned bool  `json:"learned"`
 }
 
@@ -66,12 +66,12 @@
 	Reason    string    `json:"reason"`
 	// Content tells requests that ask the same, Contents are those of several, separated by
 	// blanks.
-	Content  string    `json:"content"`
-	Contents string    `json:"contents"`
-	TookMS   int64     `json:"took_ms"`
-	FirstMS  int64     `json:"first_ms"`
-	Attempts []Attempt `json:"attempts"`
-	Version  int64     `json:"config_version"`
+	Content       string    `json:"content"`
+	Contents      string    `json:"contents"`
+	TookMS        int64     `json:"took_ms"`
+	FirstMS       int64     `json:"first_ms"`
+	Attempts      []Attempt `json:"attempts"`
+	ConfigVersion int64     `json:"config_version"`
 	// ConfigAgeMS and ServersAgeMS are how old the daemon's knowledge was.
 	ConfigAgeMS  int64 `json:"config_age_ms"`
 	ServersAgeMS int64 `json:"servers_age_ms"`
@@ -90,15 +90,15 @@
 	Raw string `json:"-"`
 }
 
-// maxLine bounds a log line in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds a log line in bytes.
+const maxLineBytes = 1 << 20
 
 // Read returns the lines of a log. What stands before the first brace of a line
 // is passed over, as collectors put a time or a name there. broken counts lines
 // that cannot be read.
 func Read(r io.Reader) (lines []Line, broken int, err error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		start := bytes.IndexByte(scanner.Bytes(), '{')
 		if start < 0 {
@@ -111,15 +111,15 @@
 			continue
 		}
 		line.Raw = string(text)
-		lines = append(lines, line.each()...)
+		lines = append(lines, line.expand()...)
 	}
 	return lines, broken, scanner.Err()
 }
 
-// each returns a line that tells of many servers as one line for each, any other line as it
+// expand returns a line that tells of many servers as one line for each, any other line as it
 // is.
-func (l Line) each() []Line {
-	if l.Message != msgChanged {
+func (l Line) expand() []Line {
+	if l.Message != msgServersChanged {
 		return []Line{l}
 	}
 	var lines []Line
@@ -129,14 +129,14 @@
 			lines = append(lines, Line{Time: l.Time, VM: l.VM, Message: message, Server: id, Draining: draining, Raw: raw})
 		}
 	}
-	add(l.ReadyIDs, msgListed, false)
-	add(l.DrainingIDs, msgListed, true)
-	add(l.GoneIDs, msgGone, false)
+	add(l.ReadyIDs, msgServerListed, false)
+	add(l.DrainingIDs, msgServerListed, true)
+	add(l.GoneIDs, msgServerGone, false)
 	return lines
 }
 
-// Story is what the logs tell of one request.
-type Story struct {
+// Timeline is what the logs tell of one request.
+type Timeline struct {
 	ID string
 	// Lines are the request's own lines and those that tell what its daemon
 	// believed, in the order of time.
@@ -144,8 +144,8 @@
 	Cause Cause
 }
 
-// Tell returns the story of a request. It returns false when no line names it.
-func Tell(lines []Line, id string) (Story, bool) {
+// BuildTimeline returns the story of a request. It returns false when no line names it.
+func BuildTimeline(lines []Line, id string) (Timeline, bool) {
 	var own []Line
 	for _, l := range lines {
 		if l.RequestID == id {
@@ -153,11 +153,11 @@
 		}
 	}
 	if len(own) == 0 {
-		return Story{}, false
+		return Timeline{}, false
 	}
-	story := Story{ID: id, Lines: own, Cause: causeOf(own)}
+	story := Timeline{ID: id, Lines: own, Cause: causeOf(own)}
 	for _, l := range own {
-		story.Lines = append(story.Lines, beliefs(lines, l)...)
+		story.Lines = append(story.Lines, contextLines(lines, l)...)
 	}
 	slices.SortStableFunc(story.Lines, func(a, b Line) int {
 		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.VM, b.VM))
@@ -166,9 +166,9 @@
 	return story, true
 }
 
-// beliefs returns the last line before a request's end, at the same daemon, on
+// contextLines returns the last line before a request's end, at the same daemon, on
 // each thing that its daemon went by.
-func beliefs(lines []Line, of Line) []Line {
+func contextLines(lines []Line, of Line) []Line {
 	last := map[string]Line{}
 	keep := func(topic string, l Line) {
 		if before, known := last[topic]; !known || l.Time.After(before.Time) {
@@ -188,19 +188,19 @@
 			keep(l.Message, l)
 		case msgStoreLost, msgStoreBack:
 			keep("store", l)
-		case msgHeld:
+		case msgHeldBack:
 			if l.Content == of.Content && of.Content != "" {
 				keep(l.Message, l)
 			}
-		case msgEnding:
+		case msgServerEnded:
 			if slices.Contains(strings.Fields(l.Contents), of.Content) {
 				keep("end of "+l.Server, l)
 			}
-		case msgListed, msgGone, msgRestarted:
+		case msgServerListed, msgServerGone, msgServerRestarted:
 			if tried[l.Server] {
 				keep("server "+l.Server, l)
 			}
-		case msgLimit, msgRest, msgLeaves:
+		case msgServerLimit, msgServerRest, msgServerLeaving:
 			if tried[l.Server] || (of.Reason == reasonAtLimits && l.Service == of.Service) {
 				keep(l.Message+l.Server, l)
 			}
@@ -215,22 +215,22 @@
 
 // Print writes a story, one line an event, with the time before the request's
 // end.
-func (s Story) Print(w io.Writer) error {
-	end := s.end()
+func (s Timeline) Print(w io.Writer) error {
+	end := s.requestEnd()
 	var out strings.Builder
 	_, _ = fmt.Fprintf(&out, "request %s\ncause: %s\n", s.ID, s.Cause)
 	for _, l := range s.Lines {
 		_, _ = fmt.Fprintf(&out, "%9.3fs  %-24s %s\n", l.Time.Sub(end).Seconds(), l.VM, describe(l))
 		for _, a := range l.Attempts {
 			_, _ = fmt.Fprintf(&out, "%36s at %d ms to %s in %s, first event predicted after %d ms (%d ms on an idle server): %s after %d ms\n",
-				"", a.AtMS, a.Server, a.Zone, a.WaitMS, a.OwnMS, a.Result, a.TookMS)
+				"", a.StartMS, a.Server, a.Zone, a.PredictedMS, a.IdleMS, a.Result, a.TookMS)
 		}
 	}
 	_, err := io.WriteString(w, out.String())
 	return err
 }
 
-func (s Story) end() time.Time {
+func (s Timeline) requestEnd() time.Time {
 	for _, l := range slices.Backward(s.Lines) {
 		if l.RequestID == s.ID {
 			return l.Time
@@ -241,8 +241,8 @@
 
 func describe(l Line) string {
 	switch l.Message {
-	case msgEnded:
-		text := fmt.Sprintf("request %s with status %d after %d ms under configuration %d", l.Outcome, l.Status, l.TookMS, l.Version)
+	case msgRequestEnded:
+		text := fmt.Sprintf("request %s with status %d after %d ms under configuration %d", l.Outcome, l.Status, l.TookMS, l.ConfigVersion)
 		if l.Reason != "" {
 			text += ": " + l.Reason
 		}
@@ -252,32 +252,32 @@
 		}
 		text += ")"
 		return text
-	case msgAtTheDoor:
+	case msgRejected:
 		return fmt.Sprintf("refused at the door with status %d: %s", l.Status, l.Reason)
 	case msgConfig:
-		return fmt.Sprintf("configuration %d came into force", l.Version)
-	case msgListed:
+		return fmt.Sprintf("configuration %d came into force", l.ConfigVersion)
+	case msgServerListed:
 		state := "ready"
 		if l.Draining {
 			state = "draining"
 		}
 		return fmt.Sprintf("server %s was listed as %s", l.Server, state)
-	case msgGone:
+	case msgServerGone:
 		return fmt.Sprintf("server %s left the list", l.Server)
-	case msgEnding:
+	case msgServerEnded:
 		return fmt.Sprintf("server %s ended while it had this request, or one that asks the same", l.Server)
-	case msgHeld:
+	case msgHeldBack:
 		return "what the request asks is held back from now on"
-	case msgLimit:
+	case msgServerLimit:
 		if !l.Limited {
 			return fmt.Sprintf("server %s names no limit any more", l.Server)
 		}
 		return fmt.Sprintf("server %s takes %g requests a second from all daemons", l.Server, l.RequestsPerSecond)
-	case msgRest:
+	case msgServerRest:
 		return fmt.Sprintf("server %s declined and wants no requests for %d ms", l.Server, l.RestMS)
-	case msgLeaves:
+	case msgServerLeaving:
 		return fmt.Sprintf("server %s leaves by its own word", l.Server)
-	case msgRestarted:
+	case msgServerRestarted:
 		return fmt.Sprintf("server %s has started again and knows nothing of before", l.Server)
 	}
 	return l.Message
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-const log = `
+const sampleLog = `
   12.3 vm-1 {"time":"2026-01-01T00:00:01Z","msg":"configuration in force","vm":"vm-1","config_version":7}
 {"time":"2026-01-01T00:00:02Z","msg":"server listed","vm":"vm-1","server":"i-1","draining":false}
 {"time":"2026-01-01T00:00:02.5Z","msg":"server listed","vm":"vm-2","server":"i-1","draining":true}
@@ -20,14 +20,14 @@
 not a line at all
 `
 
-func TestStory(t *testing.T) {
+func TestTimeline(t *testing.T) {
 	c := qt.New(t)
-	lines, broken, err := Read(strings.NewReader(log))
+	lines, broken, err := Read(strings.NewReader(sampleLog))
 	c.Assert(err, qt.IsNil)
 	c.Check(broken, qt.Equals, 1)
-	story, found := Tell(lines, "a")
+	story, found := BuildTimeline(lines, "a")
 	c.Assert(found, qt.IsTrue)
-	c.Check(story.Cause, qt.Equals, CauseLost)
+	c.Check(story.Cause, qt.Equals, CauseAnswerLost)
 	var out bytes.Buffer
 	c.Assert(story.Print(&out), qt.IsNil)
 	c.Check(out.String(), qt.Contains, "-2.000s  vm-1")
@@ -36,18 +36,18 @@
 	c.Check(out.String(), qt.Contains, "no-answer after 11 ms")
 	c.Check(strings.Contains(out.String(), "configuration 8"), qt.IsFalse, qt.Commentf("what came later was not believed"))
 	c.Check(strings.Contains(out.String(), "draining"), qt.IsFalse, qt.Commentf("what another daemon believed does not count"))
-	_, found = Tell(lines, "unknown")
+	_, found = BuildTimeline(lines, "unknown")
 	c.Check(found, qt.IsFalse)
 }
 
-// TestStoryFromALineOfManyServers: changes that come together stand in one line.
-func TestStoryFromALineOfManyServers(t *testing.T) {
+// TestTimelineFromServersChangedLine: changes that come together stand in one line.
+func TestTimelineFromServersChangedLine(t *testing.T) {
 	c := qt.New(t)
 	lines, _, err := Read(strings.NewReader(`{"time":"2026-01-01T00:00:01Z","msg":"servers changed","vm":"vm-1","ids_ready":"i-1 i-2","ids_draining":"i-3","ids_gone":"i-4"}
 {"time":"2026-01-01T00:00:02Z","msg":"server has started again","vm":"vm-1","server":"i-2"}
 {"time":"2026-01-01T00:00:03Z","msg":"request ended","vm":"vm-1","request_id":"a","outcome":"failed","status":502,"attempts":[{"server":"i-2","result":"no-answer"},{"server":"i-3","result":"no-answer"},{"server":"i-4","result":"no-answer"}]}`))
 	c.Assert(err, qt.IsNil)
-	story, _ := Tell(lines, "a")
+	story, _ := BuildTimeline(lines, "a")
 	var out bytes.Buffer
 	c.Assert(story.Print(&out), qt.IsNil)
 	c.Check(out.String(), qt.Contains, "server i-2 has started again")
@@ -55,7 +55,7 @@
 	c.Check(out.String(), qt.Contains, "server i-4 left the list")
 }
 
-func TestStoryOfServersAtTheirLimits(t *testing.T) {
+func TestTimelineOfServersAtTheirLimits(t *testing.T) {
 	c := qt.New(t)
 	lines, _, err := Read(strings.NewReader(`{"time":"2026-01-01T00:00:01Z","msg":"server's limit changed","vm":"vm-1","server":"i-1","service":"s","limited":true,"requests_per_second":1.2}
 {"time":"2026-01-01T00:00:01Z","msg":"server's limit changed","vm":"vm-1","server":"i-2","service":"other","limited":true,"requests_per_second":3}
@@ -63,8 +63,8 @@
 {"time":"2026-01-01T00:00:02Z","msg":"server leaves by its own announcement","vm":"vm-1","server":"i-4","service":"s"}
 {"time":"2026-01-01T00:00:03Z","msg":"request ended","vm":"vm-1","request_id":"a","service":"s","outcome":"refused","status":503,"reason":"backend servers rest or are at the limits that they name"}`))
 	c.Assert(err, qt.IsNil)
-	story, _ := Tell(lines, "a")
-	c.Check(story.Cause, qt.Equals, CauseAtLimits)
+	story, _ := BuildTimeline(lines, "a")
+	c.Check(story.Cause, qt.Equals, CauseServersAtLimits)
 	var out bytes.Buffer
 	c.Assert(story.Print(&out), qt.IsNil)
 	c.Check(out.String(), qt.Contains, "server i-1 takes 1.2 requests a second from all daemons")
@@ -73,16 +73,16 @@
 	c.Check(strings.Contains(out.String(), "i-2"), qt.IsFalse)
 }
 
-func TestSummaryLeavesOutWhatWasServed(t *testing.T) {
+func TestSummaryOmitsServedRequests(t *testing.T) {
 	c := qt.New(t)
-	lines, _, err := Read(strings.NewReader(log))
+	lines, _, err := Read(strings.NewReader(sampleLog))
 	c.Assert(err, qt.IsNil)
-	c.Check(Summary(lines), qt.DeepEquals, []Count{{CauseLost, 1}, {CauseKey, 1}})
+	c.Check(Summary(lines), qt.DeepEquals, []CauseCount{{CauseAnswerLost, 1}, {CauseUnknownKey, 1}})
 }
 
-// TestStoryOfARequestThatIsHeldBack names the servers that ended under requests that ask the
+// TestTimelineOfHeldBackRequest names the servers that ended under requests that ask the
 // same, at its daemon.
-func TestStoryOfARequestThatIsHeldBack(t *testing.T) {
+func TestTimelineOfHeldBackRequest(t *testing.T) {
 	c := qt.New(t)
 	lines, _, err := Read(strings.NewReader(`{"time":"2000-01-01T00:00:01Z","msg":"server has ended under requests","vm":"a","server":"i-1","contents":"0b 0a"}
 {"time":"2000-01-01T00:00:02Z","msg":"server has ended under requests","vm":"a","server":"i-2","contents":"0a"}
@@ -91,7 +91,7 @@
 {"time":"2000-01-01T00:00:05Z","msg":"request ended","vm":"a","request_id":"r","content":"0a","outcome":"refused","status":503,"reason":"request ends the servers that run it"}
 `))
 	c.Assert(err, qt.IsNil)
-	story, found := Tell(lines, "r")
+	story, found := BuildTimeline(lines, "r")
 	c.Assert(found, qt.IsTrue)
 	c.Check(story.Cause, qt.Equals, CauseEndsServers)
 	var out strings.Builder
@@ -105,26 +105,26 @@
 func TestCauses(t *testing.T) {
 	c := qt.New(t)
 	for want, l := range map[Cause]Line{
-		CauseAllowance:   {Outcome: "refused", Status: 429, Reason: "workspace is above its allowance"},
-		CauseEndsServers: {Outcome: "refused", Status: 503, Reason: "request ends the servers that run it"},
-		CauseOverload:    {Outcome: "refused", Status: 503, Reason: "predicted wait is too long"},
-		CauseOwnSize: {
-			Outcome: "refused", Status: 503, Reason: "predicted wait is too long", Attempts: []Attempt{{Result: "not-tried", WaitMS: 900, OwnMS: 700}},
+		CauseAboveAllowance: {Outcome: "refused", Status: 429, Reason: "workspace is above its allowance"},
+		CauseEndsServers:    {Outcome: "refused", Status: 503, Reason: "request ends the servers that run it"},
+		CauseOverload:       {Outcome: "refused", Status: 503, Reason: "predicted wait is too long"},
+		CauseRequestSize: {
+			Outcome: "refused", Status: 503, Reason: "predicted wait is too long", Attempts: []Attempt{{Result: "not-tried", PredictedMS: 900, IdleMS: 700}},
 		},
-		CauseTimeout:     {Outcome: "failed", Status: 504, Reason: "timeout"},
-		CauseDeclined:    {Outcome: "refused", Status: 503, Reason: "route allows no further attempt", Attempts: []Attempt{{Result: "declined"}}},
-		CauseServerError: {Outcome: "failed", Status: 502, Reason: "retry budget is spent", Attempts: []Attempt{{Result: "status-500"}}},
-		CauseRepeats:     {Outcome: "failed", Status: 502, Reason: "route allows no further attempt", Attempts: []Attempt{{Result: "no-answer"}}},
-		CauseCallerLeft:  {Outcome: "caller-left"},
-		CauseUnknown:     {Outcome: "failed", Status: 502, Reason: "something else"},
+		CauseTimeout:        {Outcome: "failed", Status: 504, Reason: "timeout"},
+		CauseDeclined:       {Outcome: "refused", Status: 503, Reason: "route allows no further attempt", Attempts: []Attempt{{Result: "declined"}}},
+		CauseServerError:    {Outcome: "failed", Status: 502, Reason: "retry budget is spent", Attempts: []Attempt{{Result: "status-500"}}},
+		CauseNoMoreAttempts: {Outcome: "failed", Status: 502, Reason: "route allows no further attempt", Attempts: []Attempt{{Result: "no-answer"}}},
+		CauseCallerLeft:     {Outcome: "caller-left"},
+		CauseUnknown:        {Outcome: "failed", Status: 502, Reason: "something else"},
 	} {
-		l.Message = msgEnded
+		l.Message = msgRequestEnded
 		c.Check(causeOf([]Line{l}), qt.Equals, want)
 	}
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(log))
+	f.Add([]byte(sampleLog))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		lines, _, err := Read(bytes.NewReader(raw))
 		if err != nil {
@@ -132,7 +132,7 @@
 		}
 		Summary(lines)
 		for _, l := range lines {
-			if story, found := Tell(lines, l.RequestID); found && len(story.Lines) == 0 {
+			if story, found := BuildTimeline(lines, l.RequestID); found && len(story.Lines) == 0 {
 				t.Fatal("a story without lines")
 			}
 		}
--- a/internal/generation/publisher.go
+++ b/internal/generation/publisher.go
@@ -52,7 +52,7 @@
 func (p *Publisher) tryApply(ctx context.Context, refs []PartRef, contents map[string][]byte, basedOn int64, applyID string) (*Manifest, bool, error) {
 	current, version, err := readManifest(ctx, p.store)
 	if err != nil && !errors.Is(err, ErrNoDeployment) {
-		return nil, errors.Is(err, store.ErrUnknown), err
+		return nil, errors.Is(err, store.ErrOutcomeUnknown), err
 	}
 	if current.ApplyID == applyID {
 		return current, false, nil
@@ -61,7 +61,7 @@
 		return nil, false, &ConflictError{BasedOn: basedOn, Current: current.Generation}
 	}
 	if err := p.putParts(ctx, current, refs, contents); err != nil {
-		return nil, errors.Is(err, store.ErrUnknown), err
+		return nil, errors.Is(err, store.ErrOutcomeUnknown), err
 	}
 	next := &Manifest{Generation: basedOn + 1, ApplyID: applyID, AppliedAt: time.Now().UTC(), Parts: refs}
 	raw, err := json.Marshal(next)
@@ -72,7 +72,7 @@
 	if err == nil {
 		return next, false, nil
 	}
-	retry := errors.Is(err, store.ErrUnknown) || errors.Is(err, store.ErrConflict)
+	retry := errors.Is(err, store.ErrOutcomeUnknown) || errors.Is(err, store.ErrConflict)
 	return nil, retry, err
 }
 
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -121,7 +121,7 @@
 	}
 	s.written[key] = value
 	if s.calls%2 == 0 {
-		return store.Value{}, store.ErrUnknown
+		return store.Value{}, store.ErrOutcomeUnknown
 	}
 	return store.Value{}, nil
 }
--- a/internal/operatorapi/api.go
+++ b/internal/operatorapi/api.go
@@ -149,7 +149,7 @@
 		return c.JSON(http.StatusUnprocessableEntity, Failure{Message: "files have mistakes", Findings: findings.Findings})
 	case errors.As(err, &conflict):
 		return c.JSON(http.StatusConflict, Failure{Message: err.Error(), BasedOn: conflict.BasedOn, Current: conflict.Current})
-	case errors.Is(err, store.ErrRefused), errors.Is(err, store.ErrUnknown), errors.Is(err, context.DeadlineExceeded):
+	case errors.Is(err, store.ErrRefused), errors.Is(err, store.ErrOutcomeUnknown), errors.Is(err, context.DeadlineExceeded):
 		return c.JSON(http.StatusServiceUnavailable, Failure{Message: err.Error()})
 	}
 	return c.JSON(http.StatusInternalServerError, Failure{Message: err.Error()})
--- a/internal/router/consume.go
+++ b/internal/router/consume.go
@@ -184,7 +184,7 @@
 		return
 	}
 	if _, known := c.Services[e.Service]; !known {
-		s.router.bad.note(&store.BadObject{Kind: platform.KindServers, Name: e.ID, Fault: store.FaultService, Field: e.Service}, now)
+		s.router.bad.note(&store.BadObject{Kind: platform.KindServers, Name: e.ID, Fault: store.FaultUnknownService, Field: e.Service}, now)
 	}
 }
 
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -38,12 +38,12 @@
 
 // follow makes the followers of the configuration and of the backend servers.
 func (r *Router) follow() {
-	options := store.FollowOptions{Wait: r.watchWait, OnCompacted: r.findHistoryGone, Active: r.following.Load}
+	options := store.FollowOptions{WatchTimeout: r.watchWait, OnCompacted: r.findHistoryGone, Active: r.following.Load}
 	r.configs = store.NewFollower(r.objects, platform.KindConfig, configConsumer{r.state}, r.logger, options)
-	options.Wait, options.Gather = r.serversWait, gatherServers
+	options.WatchTimeout, options.BatchDelay = r.serversWait, gatherServers
 	r.servers = store.NewFollower(r.objects, platform.KindServers, serverConsumer{r.state}, r.logger, options)
-	options.Gather = 0
-	options.Wait = func() time.Duration { return max(orderWait, r.watchWait()) }
+	options.BatchDelay = 0
+	options.WatchTimeout = func() time.Duration { return max(orderWait, r.watchWait()) }
 	options.Active = func() bool { return r.following.Load() && !r.state.failing() }
 	r.orders = store.NewFollower(r.objects, platform.KindRollOuts, orderConsumer{r}, r.logger, options)
 }
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -76,7 +76,7 @@
 	begun := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, probes.patience())
 	defer cancel()
-	err := objects.Reach(ctx)
+	err := objects.Ping(ctx)
 	probes.answered(time.Since(begun))
 	return err
 }
--- a/internal/router/rollouts.go
+++ b/internal/router/rollouts.go
@@ -233,7 +233,7 @@
 func (r *Router) writeOutcome(ctx context.Context, outcome rollout.StateChange) bool {
 	order := outcome.Order
 	object, err := r.objects.ReplaceStatus(ctx, platform.KindRollOuts, order.Service, order.Revision, platform.EncodeRollOutStatus(order, outcome.State))
-	if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrUnknown) || errors.Is(err, store.ErrNotFound) {
+	if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrOutcomeUnknown) || errors.Is(err, store.ErrNotFound) {
 		// Another has written, or the write was carried out and its answer lost.
 		r.logger.Warn("state of a roll-out not written", "service", order.Service, "state", outcome.State.String(), "error", err)
 		object, err = r.objects.Get(ctx, platform.KindRollOuts, order.Service)
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -112,7 +112,7 @@
 }
 
 func toleranceOf(b config.RouterBounds) allowance.Tolerance {
-	return allowance.Tolerance{Window: b.QuotaWindow.Std(), Fraction: b.QuotaOver, Tokens: b.QuotaSlack}
+	return allowance.Tolerance{Window: b.QuotaWindow.Std(), Fraction: b.QuotaOverShare, Tokens: b.QuotaSlackTokens}
 }
 
 // Catalog returns the configuration in force, or nil.
--- a/internal/store/bad.go
+++ b/internal/store/bad.go
@@ -9,14 +9,14 @@
 const (
 	// FaultUnreadable: the bytes are no object of the expected encoding.
 	FaultUnreadable Fault = "unreadable"
-	// FaultMissing: a field that every such object has is missing.
-	FaultMissing Fault = "field_missing"
-	// FaultType: a field holds another type than it has to.
-	FaultType Fault = "wrong_type"
-	// FaultValue: a field holds a value that it cannot have.
-	FaultValue Fault = "wrong_value"
-	// FaultService: no configuration names the service.
-	FaultService Fault = "unknown_service"
+	// FaultMissingField: a field that every such object has is missing.
+	FaultMissingField Fault = "field_missing"
+	// FaultWrongType: a field holds another type than it has to.
+	FaultWrongType Fault = "wrong_type"
+	// FaultWrongValue: a field holds a value that it cannot have.
+	FaultWrongValue Fault = "wrong_value"
+	// FaultUnknownService: no configuration names the service.
+	FaultUnknownService Fault = "unknown_service"
 )
 
 // BadObject is the error of an object that cannot be used. Other writers than the expected
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// firstRetry follows a failed call; it doubles up to lastRetry. A change has
+	// minRetryDelay follows a failed call; it doubles up to maxRetryDelay. A change has
 	// to be in force within 2 s of the store's return.
-	firstRetry = 100 * time.Millisecond
-	lastRetry  = time.Second
-	// answerWay is how long the answer of a watch may be on its way.
-	answerWay = 100 * time.Millisecond
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = time.Second
+	// maxAnswerDelay is how long the answer of a watch may be on its way.
+	maxAnswerDelay = 100 * time.Millisecond
 )
 
 // Consumer takes over the objects of a kind.
@@ -42,9 +42,9 @@
 	// asOf is when the store said at the earliest what the last call has brought.
 	asOf time.Time
 	// changed is set when the last call brought changes.
-	changed bool
-	retry   time.Duration
-	options FollowOptions
+	changed    bool
+	retryDelay time.Duration
+	options    FollowOptions
 
 	// wake ends a rest.
 	wake chan struct{}
@@ -57,14 +57,14 @@
 
 // FollowOptions tie the followers of one daemon together.
 type FollowOptions struct {
-	// Wait returns how long the next watch may wait. A watch can go deaf without
+	// WatchTimeout returns how long the next watch may wait. A watch can go deaf without
 	// a sign, so that the daemon on which others rely asks often.
-	Wait func() time.Duration
+	WatchTimeout func() time.Duration
 	// Active reports whether this daemon should follow at all now. Nil is always.
 	Active func() bool
-	// Gather is how long the follower waits after changes before it asks for more: the
+	// BatchDelay is how long the follower waits after changes before it asks for more: the
 	// store ends a watch at the first change, and each call is paid for.
-	Gather time.Duration
+	BatchDelay time.Duration
 	// OnCompacted is called when the store has dropped history: what other
 	// watches wait for may be gone too.
 	OnCompacted func()
@@ -72,7 +72,7 @@
 
 // NewFollower returns a follower of one kind of object.
 func NewFollower(s Store, kind string, consumer Consumer, logger *slog.Logger, options FollowOptions) *Follower {
-	return &Follower{store: s, kind: kind, consumer: consumer, logger: logger, retry: firstRetry, options: options, wake: make(chan struct{}, 1)}
+	return &Follower{store: s, kind: kind, consumer: consumer, logger: logger, retryDelay: minRetryDelay, options: options, wake: make(chan struct{}, 1)}
 }
 
 // Refresh ends the watch that waits, so that the next one waits as long as is
@@ -91,8 +91,8 @@
 	}
 }
 
-// watching prepares a watch that Refresh can end.
-func (f *Follower) watching(ctx context.Context) (context.Context, context.CancelFunc) {
+// newWatchContext prepares a watch that Refresh can end.
+func (f *Follower) newWatchContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	ctx, f.cancel = context.WithCancel(ctx)
@@ -106,25 +106,25 @@
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if f.options.Active != nil && !f.options.Active() {
-			f.rest(ctx)
+			f.waitInactive(ctx)
 			continue
 		}
-		err := f.step(ctx)
+		err := f.poll(ctx)
 		switch {
 		case err == nil:
 			f.recovered()
-			f.gather(ctx)
+			f.delayNextPoll(ctx)
 		case ctx.Err() == nil && !errors.Is(err, errRefreshed):
-			f.pause(ctx, err)
+			f.backOff(ctx, err)
 		}
 	}
 }
 
-// rest waits until it is time to look again whether to follow. What was missed
+// waitInactive waits until it is time to look again whether to follow. What was missed
 // meanwhile is listed then.
-func (f *Follower) rest(ctx context.Context) {
-	f.next, f.failed, f.retry = 0, false, firstRetry
-	timer := time.NewTimer(firstRetry)
+func (f *Follower) waitInactive(ctx context.Context) {
+	f.next, f.failed, f.retryDelay = 0, false, minRetryDelay
+	timer := time.NewTimer(minRetryDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -136,14 +136,14 @@
 // errRefreshed ends a watch that Refresh has cancelled. The store has not answered it.
 var errRefreshed = errors.New("watch ended by a refresh")
 
-// step makes one call.
-func (f *Follower) step(ctx context.Context) error {
-	waiting, cancel := f.watching(ctx)
+// poll makes one call.
+func (f *Follower) poll(ctx context.Context) error {
+	waiting, cancel := f.newWatchContext(ctx)
 	defer cancel()
 	if f.next == 0 {
 		return f.list(ctx)
 	}
-	changes, err := f.store.Watch(waiting, f.kind, f.next, f.options.Wait())
+	changes, err := f.store.Watch(waiting, f.kind, f.next, f.options.WatchTimeout())
 	switch {
 	case errors.Is(err, ErrCompacted):
 		f.logger.Info("history of the watch is gone, listing anew", "kind", f.kind, "revision", f.next)
@@ -157,26 +157,26 @@
 		f.next = 0
 		return err
 	}
-	f.asOf = time.Now().Add(-answerWay)
+	f.asOf = time.Now().Add(-maxAnswerDelay)
 	if len(changes.Events) > 0 {
 		f.consumer.Apply(changes.Events, changes.Revision)
 	}
 	f.next, f.changed = changes.Revision, len(changes.Events) > 0
-	if changes.Nameless > 0 {
+	if changes.SkippedEvents > 0 {
 		// Whose events they were, the list tells: who is missing there.
-		f.logger.Warn("events of a watch cannot be read, listing anew", "kind", f.kind, "events", changes.Nameless, "revision", f.next)
+		f.logger.Warn("events of a watch cannot be read, listing anew", "kind", f.kind, "events", changes.SkippedEvents, "revision", f.next)
 		f.next = 0
 	}
 	return nil
 }
 
-// gather lets further changes come together after some. What has come is told by then.
-func (f *Follower) gather(ctx context.Context) {
-	if !f.changed || f.options.Gather <= 0 {
+// delayNextPoll lets further changes come together after some. What has come is told by then.
+func (f *Follower) delayNextPoll(ctx context.Context) {
+	if !f.changed || f.options.BatchDelay <= 0 {
 		return
 	}
 	f.changed = false
-	timer := time.NewTimer(f.options.Gather)
+	timer := time.NewTimer(f.options.BatchDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -190,8 +190,8 @@
 	if err != nil {
 		return err
 	}
-	if page.Nameless > 0 {
-		f.logger.Warn("objects of a list cannot be read", "kind", f.kind, "objects", page.Nameless, "revision", page.Revision)
+	if page.SkippedObjects > 0 {
+		f.logger.Warn("objects of a list cannot be read", "kind", f.kind, "objects", page.SkippedObjects, "revision", page.Revision)
 	}
 	f.consumer.Replace(page, f.failed)
 	f.next, f.asOf = page.Revision, begun
@@ -202,21 +202,21 @@
 	if f.failed {
 		f.logger.Info("store answers again", "kind", f.kind, "revision", f.next)
 	}
-	f.failed, f.retry = false, firstRetry
+	f.failed, f.retryDelay = false, minRetryDelay
 	f.consumer.Advance(f.next, f.asOf, false)
 }
 
-func (f *Follower) pause(ctx context.Context, err error) {
+func (f *Follower) backOff(ctx context.Context, err error) {
 	if !f.failed {
 		f.logger.Warn("store does not answer", "kind", f.kind, "error", err)
 	}
 	f.failed = true
 	f.consumer.Advance(0, time.Time{}, true)
-	timer := time.NewTimer(f.retry)
+	timer := time.NewTimer(f.retryDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	f.retry = min(lastRetry, 2*f.retry)
+	f.retryDelay = min(maxRetryDelay, 2*f.retryDelay)
 }
--- a/internal/store/follow_test.go
+++ b/internal/store/follow_test.go
@@ -24,27 +24,27 @@
 	return Changes{Events: []Event{{Object: Object{Name: "a", Revision: after + 1}}}, Revision: after + 1}, nil
 }
 
-// told records when changes were applied and when the revision was advanced.
-type told struct{ applied, advanced []time.Time }
+// recordingConsumer records when changes were applied and when the revision was advanced.
+type recordingConsumer struct{ applied, advanced []time.Time }
 
-func (c *told) Replace(Page, bool) {}
+func (c *recordingConsumer) Replace(Page, bool) {}
 
-func (c *told) Apply([]Event, int64) { c.applied = append(c.applied, time.Now()) }
+func (c *recordingConsumer) Apply([]Event, int64) { c.applied = append(c.applied, time.Now()) }
 
-func (c *told) Advance(revision int64, _ time.Time, _ bool) {
+func (c *recordingConsumer) Advance(revision int64, _ time.Time, _ bool) {
 	if revision > 1 {
 		c.advanced = append(c.advanced, time.Now())
 	}
 }
 
-// TestChangesAreToldBeforeMoreAreGathered: other daemons fetch a change once the revision
+// TestRevisionAdvancesBeforeBatchDelay: other daemons fetch a change once the revision
 // is advanced, which must not wait for the next call.
-func TestChangesAreToldBeforeMoreAreGathered(t *testing.T) {
+func TestRevisionAdvancesBeforeBatchDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		store, consumer := &busyStore{}, &told{}
+		store, consumer := &busyStore{}, &recordingConsumer{}
 		f := NewFollower(store, "kind", consumer, slog.New(slog.DiscardHandler), FollowOptions{
-			Wait: func() time.Duration { return time.Second }, Gather: 200 * time.Millisecond, OnCompacted: func() {},
+			WatchTimeout: func() time.Duration { return time.Second }, BatchDelay: 200 * time.Millisecond, OnCompacted: func() {},
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
 		defer cancel()
@@ -77,26 +77,26 @@
 	return Changes{}, ctx.Err()
 }
 
-// answers counts how often the store was said to have answered.
-type answers struct{ count int }
+// answerCounter counts how often the store was said to have answered.
+type answerCounter struct{ count int }
 
-func (a *answers) Replace(Page, bool) {}
+func (a *answerCounter) Replace(Page, bool) {}
 
-func (a *answers) Apply([]Event, int64) {}
+func (a *answerCounter) Apply([]Event, int64) {}
 
-func (a *answers) Advance(_ int64, _ time.Time, failing bool) {
+func (a *answerCounter) Advance(_ int64, _ time.Time, failing bool) {
 	if !failing {
 		a.count++
 	}
 }
 
-func TestWatchEndedByRefreshIsNoAnswerOfTheStore(t *testing.T) {
+func TestRefreshedWatchIsNotCountedAsAnswer(t *testing.T) {
 	for _, relist := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			consumer := &answers{}
+			consumer := &answerCounter{}
 			f := NewFollower(&silentStore{}, "kind", consumer, slog.New(slog.DiscardHandler), FollowOptions{
-				Wait: func() time.Duration { return time.Minute }, OnCompacted: func() {},
+				WatchTimeout: func() time.Duration { return time.Minute }, OnCompacted: func() {},
 			})
 			ctx, cancel := context.WithCancel(t.Context())
 			var running sync.WaitGroup
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -19,9 +19,9 @@
 	ErrCompacted = errors.New("history of the watch is gone")
 	// ErrRefused means that the store did nothing.
 	ErrRefused = errors.New("store refused the call")
-	// ErrUnknown means that a call got no answer: it may have been carried out,
+	// ErrOutcomeUnknown means that a call got no answer: it may have been carried out,
 	// or may be later.
-	ErrUnknown = errors.New("store gave no answer")
+	ErrOutcomeUnknown = errors.New("store gave no answer")
 )
 
 // Object is one object.
@@ -39,8 +39,8 @@
 type Page struct {
 	Objects  []Object
 	Revision int64
-	// Nameless is the number of objects left out since not even their name could be read.
-	Nameless int
+	// SkippedObjects is the number of objects left out since not even their name could be read.
+	SkippedObjects int
 }
 
 // Event is a change of an object.
@@ -53,9 +53,9 @@
 type Changes struct {
 	Events   []Event
 	Revision int64
-	// Nameless is the number of events left out since the name of their object could not
+	// SkippedEvents is the number of events left out since the name of their object could not
 	// be read.
-	Nameless int
+	SkippedEvents int
 }
 
 // Store is the object store.
@@ -65,9 +65,9 @@
 	// ListStale returns all objects of a kind as they were some seconds ago at most, at a
 	// tenth of the price and beside the store's rate.
 	ListStale(ctx context.Context, kind string) (Page, error)
-	// Reach returns nil if the store is reached, at a tenth of the price of another call. A watch
+	// Ping returns nil if the store is reached, at a tenth of the price of another call. A watch
 	// that waits on a connection that is dead does not tell.
-	Reach(ctx context.Context) error
+	Ping(ctx context.Context) error
 	// Watch waits at most that long for changes after a revision.
 	Watch(ctx context.Context, kind string, after int64, wait time.Duration) (Changes, error)
 	// Get returns one object, not older than the call.
--- a/internal/store/values.go
+++ b/internal/store/values.go
@@ -13,12 +13,12 @@
 var (
 	// ErrUnchanged means that a watch ended without a change.
 	ErrUnchanged = errors.New("value unchanged")
-	// ErrTooLarge means that the value is above MaxValue.
+	// ErrTooLarge means that the value is above MaxValueBytes.
 	ErrTooLarge = errors.New("value too large for the store")
 )
 
-// MaxValue is the largest value that the store holds, in bytes.
-const MaxValue = 1 << 20
+// MaxValueBytes is the largest value that the store holds, in bytes.
+const MaxValueBytes = 1 << 20
 
 // Value is a piece of bytes under a key.
 type Value struct {
@@ -34,7 +34,7 @@
 	// Get returns the value or ErrNotFound.
 	Get(ctx context.Context, key string) (Value, error)
 	// Put writes the value if it still has the expected version. It returns
-	// ErrConflict if not, and ErrUnknown if the write may or may not have taken
+	// ErrConflict if not, and ErrOutcomeUnknown if the write may or may not have taken
 	// effect.
 	Put(ctx context.Context, key string, data []byte, expected int64) (Value, error)
 	// List returns the values whose keys begin with the prefix.
@@ -55,7 +55,7 @@
 // NewValues returns the values of a kind.
 func NewValues(s Store, kind string) *KindValues { return &KindValues{store: s, kind: kind} }
 
-func valueOf(object Object) (Value, error) {
+func decodeValue(object Object) (Value, error) {
 	value := Value{Key: object.Name, Version: object.Revision}
 	if err := json.Unmarshal(object.Spec, &value.Data); err != nil {
 		return value, fmt.Errorf("decode value %s: %w", object.Name, err)
@@ -69,12 +69,12 @@
 	if err != nil {
 		return Value{}, err
 	}
-	return valueOf(object)
+	return decodeValue(object)
 }
 
 // Put implements Values.
 func (v *KindValues) Put(ctx context.Context, key string, data []byte, expected int64) (Value, error) {
-	if len(data) > MaxValue {
+	if len(data) > MaxValueBytes {
 		return Value{}, fmt.Errorf("%w: %s has %d bytes", ErrTooLarge, key, len(data))
 	}
 	var object Object
@@ -102,7 +102,7 @@
 		if !strings.HasPrefix(object.Name, prefix) {
 			continue
 		}
-		value, err := valueOf(object)
+		value, err := decodeValue(object)
 		if err != nil {
 			return nil, err
 		}
@@ -124,7 +124,7 @@
 // passed over.
 func (v *KindValues) Watch(ctx context.Context, key string, after int64, wait time.Duration) (Value, error) {
 	end := time.Now().Add(wait)
-	value, next, err := v.present(ctx, key, after)
+	value, next, err := v.currentValue(ctx, key, after)
 	if err != nil || value.Version > after {
 		return value, err
 	}
@@ -136,17 +136,17 @@
 		if err != nil {
 			return Value{}, err
 		}
-		if object, found := latest(changes.Events, key); found {
-			return valueOf(object)
+		if object, found := latestObject(changes.Events, key); found {
+			return decodeValue(object)
 		}
 		next = changes.Revision
 	}
 	return Value{}, ErrUnchanged
 }
 
-// present returns the value as it is, if its version is not known, and the
+// currentValue returns the value as it is, if its version is not known, and the
 // revision to watch from.
-func (v *KindValues) present(ctx context.Context, key string, after int64) (Value, int64, error) {
+func (v *KindValues) currentValue(ctx context.Context, key string, after int64) (Value, int64, error) {
 	if after > 0 {
 		return Value{}, after, nil
 	}
@@ -156,16 +156,16 @@
 	}
 	for _, object := range page.Objects {
 		if object.Name == key {
-			value, err := valueOf(object)
+			value, err := decodeValue(object)
 			return value, page.Revision, err
 		}
 	}
 	return Value{}, page.Revision, nil
 }
 
-// latest returns the newest state of an object among events, unless it was
+// latestObject returns the newest state of an object among events, unless it was
 // deleted.
-func latest(events []Event, name string) (Object, bool) {
+func latestObject(events []Event, name string) (Object, bool) {
 	for i := len(events) - 1; i >= 0; i-- {
 		if events[i].Object.Name == name {
 			return events[i].Object, !events[i].Deleted
--- a/internal/strictyaml/strictyaml.go
+++ b/internal/strictyaml/strictyaml.go
@@ -49,8 +49,8 @@
 // to found; what could be decoded is decoded all the same.
 func Decode(file string, data []byte, out any, found *finding.List) *Source {
 	d := &decoder{
-		source: &Source{file: file, places: map[string]finding.Place{}},
-		found:  found,
+		source:   &Source{file: file, places: map[string]finding.Place{}},
+		findings: found,
 	}
 	parsed, err := parser.ParseBytes(data, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
@@ -58,13 +58,13 @@
 		return d.source
 	}
 	if len(parsed.Docs) > 1 {
-		found.Addf(d.at(parsed.Docs[1].Start.Position.Line, 1), "more than one YAML document in a file")
+		found.Addf(d.placeAt(parsed.Docs[1].Start.Position.Line, 1), "more than one YAML document in a file")
 	}
 	if len(parsed.Docs) == 0 || parsed.Docs[0].Body == nil {
-		found.Addf(d.at(1, 1), "file is empty")
+		found.Addf(d.placeAt(1, 1), "file is empty")
 		return d.source
 	}
-	d.value(parsed.Docs[0].Body, reflect.ValueOf(out).Elem(), "")
+	d.decodeValue(parsed.Docs[0].Body, reflect.ValueOf(out).Elem(), "")
 	return d.source
 }
 
@@ -90,32 +90,32 @@
 }
 
 type decoder struct {
-	source *Source
-	found  *finding.List
+	source   *Source
+	findings *finding.List
 }
 
-func (d *decoder) at(line, column int) finding.Place {
+func (d *decoder) placeAt(line, column int) finding.Place {
 	return finding.Place{File: d.source.file, Line: line, Column: column}
 }
 
-// place returns where a node begins. A mapping begins at its first key; its
+// nodePlace returns where a node begins. A mapping begins at its first key; its
 // own token is the first colon.
-func (d *decoder) place(node ast.Node) finding.Place {
-	if pairs, ok := mappings(node); ok && len(pairs) > 0 {
+func (d *decoder) nodePlace(node ast.Node) finding.Place {
+	if pairs, ok := mappingPairs(node); ok && len(pairs) > 0 {
 		node = pairs[0].Key
 	}
 	token := node.GetToken()
 	if token == nil || token.Position == nil {
-		return d.at(1, 1)
+		return d.placeAt(1, 1)
 	}
-	return d.at(token.Position.Line, token.Position.Column)
+	return d.placeAt(token.Position.Line, token.Position.Column)
 }
 
-func (d *decoder) value(node ast.Node, out reflect.Value, path string) {
+func (d *decoder) decodeValue(node ast.Node, out reflect.Value, path string) {
 	node = unwrap(node)
 	if path != "" {
 		if _, known := d.source.places[path]; !known {
-			d.source.places[path] = d.place(node)
+			d.source.places[path] = d.nodePlace(node)
 		}
 	}
 	if out.Kind() == reflect.Pointer {
@@ -125,16 +125,16 @@
 		out = out.Elem()
 	}
 	if text, ok := out.Addr().Interface().(encoding.TextUnmarshaler); ok {
-		d.text(node, text, path)
+		d.decodeText(node, text, path)
 		return
 	}
 	switch out.Kind() {
 	case reflect.Struct:
-		d.structure(node, out, path)
+		d.decodeStruct(node, out, path)
 	case reflect.Slice:
-		d.slice(node, out, path)
+		d.decodeSlice(node, out, path)
 	default:
-		d.scalar(node, out, path)
+		d.decodeScalar(node, out, path)
 	}
 }
 
@@ -152,19 +152,19 @@
 	}
 }
 
-func (d *decoder) mismatch(node ast.Node, path, want string) {
-	d.found.Addf(d.place(node), "%s: want %s", label(path), want)
+func (d *decoder) addMismatch(node ast.Node, path, want string) {
+	d.findings.Addf(d.nodePlace(node), "%s: want %s", pathLabel(path), want)
 }
 
-func label(path string) string {
+func pathLabel(path string) string {
 	if path == "" {
 		return "document"
 	}
 	return path
 }
 
-// mappings returns the key-value pairs of a mapping node.
-func mappings(node ast.Node) ([]*ast.MappingValueNode, bool) {
+// mappingPairs returns the key-value pairs of a mapping node.
+func mappingPairs(node ast.Node) ([]*ast.MappingValueNode, bool) {
 	switch n := node.(type) {
 	case *ast.MappingNode:
 		return n.Values, true
@@ -174,38 +174,38 @@
 	return nil, false
 }
 
-func (d *decoder) structure(node ast.Node, out reflect.Value, path string) {
-	pairs, ok := mappings(node)
+func (d *decoder) decodeStruct(node ast.Node, out reflect.Value, path string) {
+	pairs, ok := mappingPairs(node)
 	if !ok {
-		d.mismatch(node, path, "a mapping")
+		d.addMismatch(node, path, "a mapping")
 		return
 	}
 	fields := structFields(out.Type())
 	seen := map[string]bool{}
 	for _, pair := range pairs {
 		name := pair.Key.GetToken().Value
-		place := d.place(pair.Key)
+		place := d.nodePlace(pair.Key)
 		index, known := fields.index[name]
 		switch {
 		case !known:
-			d.found.Addf(place, "%s: unknown field %q%s", label(path), name, suggestion(name, fields.names))
+			d.findings.Addf(place, "%s: unknown field %q%s", pathLabel(path), name, suggestion(name, fields.names))
 		case seen[name]:
-			d.found.Addf(place, "%s: field %q is given twice", label(path), name)
+			d.findings.Addf(place, "%s: field %q is given twice", pathLabel(path), name)
 		default:
-			child := join(path, name)
+			child := joinPath(path, name)
 			d.source.places[child] = place
-			d.value(pair.Value, out.Field(index), child)
+			d.decodeValue(pair.Value, out.Field(index), child)
 		}
 		seen[name] = true
 	}
 	for _, name := range fields.required {
 		if !seen[name] {
-			d.found.Addf(d.place(node), "%s: missing field %q", label(path), name)
+			d.findings.Addf(d.nodePlace(node), "%s: missing field %q", pathLabel(path), name)
 		}
 	}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
@@ -261,38 +261,38 @@
 	return a[i:] == b[i+1:]
 }
 
-func (d *decoder) slice(node ast.Node, out reflect.Value, path string) {
+func (d *decoder) decodeSlice(node ast.Node, out reflect.Value, path string) {
 	sequence, ok := node.(*ast.SequenceNode)
 	if !ok {
-		d.mismatch(node, path, "a list")
+		d.addMismatch(node, path, "a list")
 		return
 	}
 	slice := reflect.MakeSlice(out.Type(), len(sequence.Values), len(sequence.Values))
 	for i, item := range sequence.Values {
-		d.value(item, slice.Index(i), fmt.Sprintf("%s[%d]", path, i))
+		d.decodeValue(item, slice.Index(i), fmt.Sprintf("%s[%d]", path, i))
 	}
 	out.Set(slice)
 }
 
-func (d *decoder) text(node ast.Node, out encoding.TextUnmarshaler, path string) {
+func (d *decoder) decodeText(node ast.Node, out encoding.TextUnmarshaler, path string) {
 	scalar, ok := node.(ast.ScalarNode)
 	if !ok {
-		d.mismatch(node, path, "a single value")
+		d.addMismatch(node, path, "a single value")
 		return
 	}
 	if err := out.UnmarshalText([]byte(scalar.GetToken().Value)); err != nil {
-		d.found.Addf(d.place(node), "%s: %v", label(path), err)
+		d.findings.Addf(d.nodePlace(node), "%s: %v", pathLabel(path), err)
 	}
 }
 
-func (d *decoder) scalar(node ast.Node, out reflect.Value, path string) {
+func (d *decoder) decodeScalar(node ast.Node, out reflect.Value, path string) {
 	scalar, ok := node.(ast.ScalarNode)
 	if !ok {
-		d.mismatch(node, path, kindName(out.Kind()))
+		d.addMismatch(node, path, kindName(out.Kind()))
 		return
 	}
 	if err := setScalar(scalar, out); err != nil {
-		d.mismatch(node, path, kindName(out.Kind()))
+		d.addMismatch(node, path, kindName(out.Kind()))
 	}
 }
 
--- a/robustness/onplatform/bed_test.go
+++ b/robustness/onplatform/bed_test.go
@@ -120,7 +120,7 @@
 func (b *bed) startDaemon(n int) *daemon {
 	ip := fmt.Sprintf("10.1.0.%d", n)
 	settings := config.RouterSettings{
-		Kind:   config.KindRouter,
+		Kind:   config.SettingsKindRouter,
 		VM:     config.RouterVM{ID: fmt.Sprintf("vm-%d", n), Zone: fmt.Sprintf("zone-%d", n%cmp.Or(b.zones, 3))},
 		Listen: config.RouterListen{Callers: ip + ":80", Readiness: ip + ":81", Peers: ip + ":82", Metrics: ip + ":83"},
 		Peers:  config.RouterPeers{Seeds: []string{"10.1.0.1:82", "10.1.0.2:82"}, Bootstrap: b.bootstrap},
@@ -131,7 +131,7 @@
 			RetryRatio: 0.2, RetryWindow: config.Duration(10 * time.Second), RetryExtra: 50,
 			UsageWindow: config.Duration(5 * time.Second), UsageDue: config.Duration(10 * time.Second),
 			RollOutShare: 0.1, RollOutSlack: 50, RollOutStop: config.Duration(5 * time.Second),
-			QuotaOver: b.quotaOver, QuotaSlack: b.quotaSlack,
+			QuotaOverShare: b.quotaOver, QuotaSlackTokens: b.quotaSlack,
 		},
 	}
 	r, err := router.New(router.Options{
