--- a/capacity/relay_test.go
+++ b/capacity/relay_test.go
@@ -123,11 +123,11 @@
 func relaySettings(i, zones int) config.RouterSettings {
 	ip := relayIP(i)
 	return config.RouterSettings{
-		Kind:   config.SettingsKindRouter,
+		Kind:   config.RouterKind,
 		VM:     config.RouterVM{ID: fmt.Sprintf("vm-%03d", i), Zone: fmt.Sprintf("zone-%d", i%zones)},
 		Listen: config.RouterListen{Callers: ip + ":80", Readiness: ip + ":81", Peers: ip + ":82"},
 		Peers:  config.RouterPeers{Seeds: []string{"10.1.0.1:82", "10.1.0.2:82", "10.1.0.3:82"}},
 		Store:  config.RouterAddress{Address: "10.9.0.1:1"},
-		Bounds: config.RouterBounds{Drain: config.Duration(8 * time.Second), Lease: config.Duration(3 * time.Second), RetryWindow: config.Duration(10 * time.Second)},
+		Bounds: config.RouterBounds{DrainTimeout: config.Duration(8 * time.Second), Lease: config.Duration(3 * time.Second), RetryWindow: config.Duration(10 * time.Second)},
 	}
 }
--- a/capacity/router_test.go
+++ b/capacity/router_test.go
@@ -54,11 +54,11 @@
 		"tenants":  []map[string]any{{"name": "w", "apiKeys": []string{"k"}}},
 	})
 	settings := config.RouterSettings{
-		Kind:   config.SettingsKindRouter,
+		Kind:   config.RouterKind,
 		VM:     config.RouterVM{ID: "vm-1", Zone: "z"},
 		Listen: config.RouterListen{Callers: freeAddress(b), Readiness: freeAddress(b), Peers: freeAddress(b)},
 		Store:  config.RouterAddress{Address: serveLoopback(b, store)},
-		Bounds: config.RouterBounds{Drain: config.Duration(8 * time.Second), Lease: config.Duration(3 * time.Second)},
+		Bounds: config.RouterBounds{DrainTimeout: config.Duration(8 * time.Second), Lease: config.Duration(3 * time.Second)},
 	}
 	lines := eventlog.NewWriter(io.Discard)
 	r, err := router.New(router.Options{Settings: settings, Network: network.TCP{}, Logger: eventlog.New(lines, slog.LevelInfo)})
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -102,8 +102,8 @@
 	c.Check(err, qt.ErrorMatches, `(?s)s.yaml:1:1: peers: set tls.*s.yaml:4:42: platform.token: file and env contradict.*s.yaml:5:10: limits.body_bytes: must be.*`)
 }
 
-// TestAnyTextIsDecodedOrReported feeds the decoder what operators might.
-func TestAnyTextIsDecodedOrReported(t *testing.T) {
+// TestEditedSampleNeverPanics feeds the decoder what operators might.
+func TestEditedSampleNeverPanics(t *testing.T) {
 	sample, err := os.ReadFile("../../examples/ndiaye/services.yaml")
 	qt.New(t).Assert(err, qt.IsNil)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -30,12 +30,12 @@
 // SettingsKind is the kind of a settings file.
 type SettingsKind string
 
-// SettingsKindRouter marks the settings of a daemon on the users' platform.
-const SettingsKindRouter SettingsKind = "router"
+// RouterKind marks the settings of a daemon on the users' platform.
+const RouterKind SettingsKind = "router"
 
 // UnmarshalText accepts the known kinds only.
 func (k *SettingsKind) UnmarshalText(text []byte) error {
-	return parseOneOf(text, k, SettingsKindRouter)
+	return parseOneOf(text, k, RouterKind)
 }
 
 // RouterVM says who and where the daemon is.
@@ -69,9 +69,9 @@
 
 // RouterBounds are the times and shares that the platform's operator sets.
 type RouterBounds struct {
-	// Drain is the time from the request to stop until the process is killed.
-	Drain Duration `yaml:"drain,required"`
-	Lease Duration `yaml:"lease,required"`
+	// DrainTimeout is the time from the request to stop until the process is killed.
+	DrainTimeout Duration `yaml:"drain,required"`
+	Lease        Duration `yaml:"lease,required"`
 	// RetryRatio and RetryExtra bound sendings beyond the first in any
 	// RetryWindow: RetryRatio for each request and RetryExtra besides.
 	RetryRatio  float64  `yaml:"retry_ratio"`
@@ -87,7 +87,7 @@
 	QuotaOverShare   float64  `yaml:"quota_over"`
 	QuotaSlackTokens float64  `yaml:"quota_slack"`
 	// LeavingLimit is how long a backend server that leaves may be sent requests, from when the store
-	// has taken over that it does. Without it DefaultDrainBound holds.
+	// has taken over that it does. Without it DefaultLeavingLimit holds.
 	LeavingLimit Duration `yaml:"leaving"`
 	// RollOutShare and RollOutSlack are how many requests a bad version may get while a
 	// service moves to it: a share of all, and a number besides. RollOutStop is how long after
@@ -97,14 +97,14 @@
 	RollOutStop  Duration `yaml:"rollout_stop"`
 }
 
-// DefaultDrainBound is the bound for servers that leave where the settings have none: the least that
+// DefaultLeavingLimit is the bound for servers that leave where the settings have none: the least that
 // a drain is of use with.
-const DefaultDrainBound = 2 * time.Second
+const DefaultLeavingLimit = 2 * time.Second
 
-// DrainBound returns how long a backend server that leaves may be sent requests.
-func (b RouterBounds) DrainBound() time.Duration {
+// EffectiveLeavingLimit returns how long a backend server that leaves may be sent requests.
+func (b RouterBounds) EffectiveLeavingLimit() time.Duration {
 	if b.LeavingLimit <= 0 {
-		return DefaultDrainBound
+		return DefaultLeavingLimit
 	}
 	return b.LeavingLimit.Std()
 }
@@ -125,7 +125,7 @@
 	var found finding.List
 	source := strictyaml.Decode(name, raw, &settings, &found)
 	durations := map[string]Duration{
-		"bounds.drain": settings.Bounds.Drain,
+		"bounds.drain": settings.Bounds.DrainTimeout,
 		"bounds.lease": settings.Bounds.Lease,
 
 		"bounds.retry_window": settings.Bounds.RetryWindow,
@@ -193,7 +193,7 @@
 	}
 	var found finding.List
 	strictyaml.Decode("", raw, &head, &found)
-	return head.Kind == string(SettingsKindRouter)
+	return head.Kind == string(RouterKind)
 }
 
 // Equal reports whether two settings are equal.
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -14,13 +14,13 @@
 
 // blockedWriter is a writer that takes nothing until it is let go.
 type blockedWriter struct {
-	gate    chan struct{}
+	unblock chan struct{}
 	mu      sync.Mutex
 	written bytes.Buffer
 }
 
 func (b *blockedWriter) Write(p []byte) (int, error) {
-	<-b.gate
+	<-b.unblock
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.written.Write(p)
@@ -30,14 +30,14 @@
 // and the count is told when the output takes lines again.
 func TestBlockedOutputDelaysNobody(t *testing.T) {
 	c := qt.New(t)
-	out := &blockedWriter{gate: make(chan struct{})}
+	out := &blockedWriter{unblock: make(chan struct{})}
 	w := NewWriter(out)
 	logger := New(w, slog.LevelInfo)
 	for i := range 3 * maxQueuedLines {
 		logger.Info("line", "n", i)
 	}
 	c.Check(w.Dropped() >= maxQueuedLines, qt.IsTrue, qt.Commentf("%d", w.Dropped()))
-	close(out.gate)
+	close(out.unblock)
 	logger.Info("after")
 	w.Close()
 	<-w.done
@@ -48,14 +48,14 @@
 // count of those that were dropped, are written all the same.
 func TestCloseWritesQueuedLines(t *testing.T) {
 	c := qt.New(t)
-	out := &blockedWriter{gate: make(chan struct{})}
+	out := &blockedWriter{unblock: make(chan struct{})}
 	w := NewWriter(out)
 	logger := New(w, slog.LevelInfo)
 	for range 2 * maxQueuedLines {
 		logger.Info("line")
 	}
 	w.closeOnce.Do(func() { close(w.quit) })
-	close(out.gate)
+	close(out.unblock)
 	<-w.done
 	dropped := w.Dropped()
 	c.Check(dropped > 0, qt.IsTrue)
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -60,7 +60,7 @@
 	if !r.sentinel.Load() {
 		return otherWait
 	}
-	return min(sentinelWait, time.Duration(sentinelShare*float64(r.settings.Bounds.DrainBound())))
+	return min(sentinelWait, time.Duration(sentinelShare*float64(r.settings.Bounds.EffectiveLeavingLimit())))
 }
 
 // relist makes every follower list anew.
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -18,7 +18,7 @@
 	const ip = "10.1.0.1"
 	r, err := New(Options{
 		Settings: config.RouterSettings{
-			Kind:   config.SettingsKindRouter,
+			Kind:   config.RouterKind,
 			VM:     config.RouterVM{ID: "vm-1", Zone: "zone-1"},
 			Listen: config.RouterListen{Callers: ip + ":80", Readiness: ip + ":81", Peers: ip + ":82"},
 			Bounds: config.RouterBounds{UsageWindow: config.Duration(5 * time.Second)},
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -48,7 +48,7 @@
 // reach it any more. A watch that waits says nothing of that for seconds, and meanwhile the zone
 // hears of no server that leaves.
 func (r *Router) probeStore(ctx context.Context) {
-	probes := newProbes(r.settings.Bounds.DrainBound())
+	probes := newProbes(r.settings.Bounds.EffectiveLeavingLimit())
 	ticker := time.NewTicker(probes.every)
 	defer ticker.Stop()
 	for {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -323,7 +323,7 @@
 // shutDown cuts no request: it stays reachable until the balancer has noticed
 // and answers what it has read.
 func (r *Router) shutDown(kill context.Context) {
-	end := time.Now().Add(r.settings.Bounds.Drain.Std() - exitMargin)
+	end := time.Now().Add(r.settings.Bounds.DrainTimeout.Std() - exitMargin)
 	r.logger.Info("shutting down", "until", end)
 	r.draining.Store(true)
 	ctx, cancel := context.WithDeadline(kill, end)
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -101,7 +101,7 @@
 func newState(r *Router) *state {
 	now := time.Now()
 	view := backend.NewView()
-	view.SetDrainBound(r.settings.Bounds.DrainBound())
+	view.SetDrainBound(r.settings.Bounds.EffectiveLeavingLimit())
 	limiter := newAllowances(toleranceOf(r.settings.Bounds), r.logger, r.soon)
 	view.SetLimiter(serverLimits{limiter})
 	return &state{
--- a/robustness/onplatform/bed_test.go
+++ b/robustness/onplatform/bed_test.go
@@ -120,14 +120,14 @@
 func (b *bed) startDaemon(n int) *daemon {
 	ip := fmt.Sprintf("10.1.0.%d", n)
 	settings := config.RouterSettings{
-		Kind:   config.SettingsKindRouter,
+		Kind:   config.RouterKind,
 		VM:     config.RouterVM{ID: fmt.Sprintf("vm-%d", n), Zone: fmt.Sprintf("zone-%d", n%cmp.Or(b.zones, 3))},
 		Listen: config.RouterListen{Callers: ip + ":80", Readiness: ip + ":81", Peers: ip + ":82", Metrics: ip + ":83"},
 		Peers:  config.RouterPeers{Seeds: []string{"10.1.0.1:82", "10.1.0.2:82"}, Bootstrap: b.bootstrap},
 		Store:  config.RouterAddress{Address: storeIP + ":1"},
 		Cloud:  config.RouterAddress{Address: cloudIP + ":1"},
 		Bounds: config.RouterBounds{
-			Drain: config.Duration(8 * time.Second), Lease: config.Duration(3 * time.Second),
+			DrainTimeout: config.Duration(8 * time.Second), Lease: config.Duration(3 * time.Second),
 			RetryRatio: 0.2, RetryWindow: config.Duration(10 * time.Second), RetryExtra: 50,
 			UsageWindow: config.Duration(5 * time.Second), UsageDue: config.Duration(10 * time.Second),
 			RollOutShare: 0.1, RollOutSlack: 50, RollOutStop: config.Duration(5 * time.Second),
