--- a/internal/store/bad.go
+++ b/internal/store/bad.go
@@ -2,29 +2,29 @@
 
 import "fmt"
 
-// Fault is why an object that stands in the store cannot be used.
+// Fault is the reason why a stored object cannot be used.
 type Fault string
 
-// The faults of an object. They are the labels of a metric, so that there are few.
+// The faults of an object. They are label values of a metric, so their number is kept small.
 const (
-	// FaultUnreadable: the bytes are no object of the expected encoding.
+	// FaultUnreadable means that the bytes do not decode as an object.
 	FaultUnreadable Fault = "unreadable"
-	// FaultMissingField: a field that every such object has is missing.
+	// FaultMissingField means that a required field is missing.
 	FaultMissingField Fault = "field_missing"
-	// FaultWrongType: a field holds another type than it has to.
+	// FaultWrongType means that a field has the wrong type.
 	FaultWrongType Fault = "wrong_type"
-	// FaultWrongValue: a field holds a value that it cannot have.
+	// FaultWrongValue means that a field has an invalid value.
 	FaultWrongValue Fault = "wrong_value"
-	// FaultUnknownService: no configuration names the service.
+	// FaultUnknownService means that the object refers to a service that is not configured.
 	FaultUnknownService Fault = "unknown_service"
 )
 
-// BadObject is the error of an object that cannot be used. Other writers than the expected
-// ones can write to a kind; their objects must not harm the others.
+// BadObject is the error for an object that cannot be used. Unexpected writers can write
+// to a kind; their objects must not affect the valid ones.
 type BadObject struct {
 	Kind, Name string
 	Fault      Fault
-	// Field is the field at fault, empty where the whole object is.
+	// Field is the invalid field. It is empty if the fault concerns the whole object.
 	Field string
 }
 
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// minRetryDelay follows a failed call; it doubles up to maxRetryDelay. A change has
-	// to be in force within 2 s of the store's return.
+	// minRetryDelay is the delay after the first failed call. It doubles up to
+	// maxRetryDelay. A change has to be in force within 2 s after the store recovers.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = time.Second
-	// maxAnswerDelay is how long the answer of a watch may be on its way.
+	// maxAnswerDelay is the assumed upper bound for the transit time of a watch's answer.
 	maxAnswerDelay = 100 * time.Millisecond
 )
 
-// Consumer takes over the objects of a kind.
+// Consumer receives the objects of a kind and their changes.
 type Consumer interface {
-	// Replace takes over the whole list. outage is true for the first list after
-	// calls that failed.
+	// Replace replaces all objects by those of a list. outage is true for the first
+	// list after failed calls.
 	Replace(page Page, outage bool)
-	// Apply takes over the changes that one call has brought, in their order: all that there
-	// were up to a revision of the store.
+	// Apply applies the changes that one watch call returned, in order. They are complete up
+	// to the given revision of the store.
 	Apply(events []Event, revision int64)
-	// Advance notes up to which revision of the store the consumer has seen
-	// everything, as of when, and whether the store fails to answer.
+	// Advance records the revision up to which the consumer has received all
+	// changes, the time as of which this holds, and whether calls to the store fail.
 	Advance(revision int64, asOf time.Time, failing bool)
 }
 
@@ -39,34 +39,34 @@
 	// next is the revision to watch from; zero asks for a list.
 	next   int64
 	failed bool
-	// asOf is when the store said at the earliest what the last call has brought.
+	// asOf is the earliest time at which the store can have produced the last answer.
 	asOf time.Time
-	// changed is set when the last call brought changes.
+	// changed reports whether the last watch call returned events.
 	changed    bool
 	retryDelay time.Duration
 	options    FollowOptions
 
-	// wake ends a rest.
+	// wake ends the wait of an inactive follower.
 	wake chan struct{}
 
 	mu sync.Mutex
-	// cancel ends the watch that waits; relist asks for a list after it.
+	// cancel ends the current watch. relist requests a list before the next one.
 	cancel context.CancelFunc
 	relist bool
 }
 
-// FollowOptions tie the followers of one daemon together.
+// FollowOptions holds the callbacks and delays of a follower.
 type FollowOptions struct {
-	// WatchTimeout returns how long the next watch may wait. A watch can go deaf without
-	// a sign, so that the daemon on which others rely asks often.
+	// WatchTimeout returns how long the next watch may wait. A watch can stop delivering
+	// events without an error, so a daemon that others depend on uses a short timeout.
 	WatchTimeout func() time.Duration
-	// Active reports whether this daemon should follow at all now. Nil is always.
+	// Active reports whether this daemon should follow the kind now. Nil means always.
 	Active func() bool
-	// BatchDelay is how long the follower waits after changes before it asks for more: the
-	// store ends a watch at the first change, and each call is paid for.
+	// BatchDelay is how long the follower waits after changes before the next watch. The
+	// store ends a watch at the first change and each call costs money, so batching saves calls.
 	BatchDelay time.Duration
-	// OnCompacted is called when the store has dropped history: what other
-	// watches wait for may be gone too.
+	// OnCompacted is called when the store has compacted its history, because the
+	// revisions that other watches need may be gone too.
 	OnCompacted func()
 }
 
@@ -75,9 +75,9 @@
 	return &Follower{store: s, kind: kind, consumer: consumer, logger: logger, retryDelay: minRetryDelay, options: options, wake: make(chan struct{}, 1)}
 }
 
-// Refresh ends the watch that waits, so that the next one waits as long as is
-// right now, or the rest of a follower that was not active. relist asks for the whole list
-// first.
+// Refresh ends the current watch, so that the next one uses the current
+// WatchTimeout, or ends the wait of an inactive follower. If relist is true, a full
+// list precedes the next watch. It is safe for concurrent use.
 func (f *Follower) Refresh(relist bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -91,7 +91,8 @@
 	}
 }
 
-// newWatchContext prepares a watch that Refresh can end.
+// newWatchContext returns a context for the next call that Refresh can cancel. It
+// also applies a pending relist.
 func (f *Follower) newWatchContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,7 +103,7 @@
 	return ctx, f.cancel
 }
 
-// Run follows until the context ends.
+// Run follows the kind until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if f.options.Active != nil && !f.options.Active() {
@@ -120,8 +121,8 @@
 	}
 }
 
-// waitInactive waits until it is time to look again whether to follow. What was missed
-// meanwhile is listed then.
+// waitInactive waits until Active should be checked again. It resets the revision, so
+// that a list returns the changes missed meanwhile.
 func (f *Follower) waitInactive(ctx context.Context) {
 	f.next, f.failed, f.retryDelay = 0, false, minRetryDelay
 	timer := time.NewTimer(minRetryDelay)
@@ -133,10 +134,11 @@
 	}
 }
 
-// errRefreshed ends a watch that Refresh has cancelled. The store has not answered it.
-var errRefreshed = errors.New("watch ended by a refresh")
+// errRefreshed is returned for a watch that Refresh cancelled. It does not count as
+// an answer of the store.
+var errRefreshed = errors.New("watch cancelled by a refresh")
 
-// poll makes one call.
+// poll makes one list or watch call and passes the result to the consumer.
 func (f *Follower) poll(ctx context.Context) error {
 	waiting, cancel := f.newWatchContext(ctx)
 	defer cancel()
@@ -146,14 +148,14 @@
 	changes, err := f.store.Watch(waiting, f.kind, f.next, f.options.WatchTimeout())
 	switch {
 	case errors.Is(err, ErrCompacted):
-		f.logger.Info("history of the watch is gone, listing anew", "kind", f.kind, "revision", f.next)
+		f.logger.Info("watch history was compacted, listing again", "kind", f.kind, "revision", f.next)
 		f.next = 0
 		f.options.OnCompacted()
 		return nil
 	case err != nil && waiting.Err() != nil:
 		return errRefreshed
 	case err != nil:
-		// The list finds what lapsed meanwhile.
+		// A list also shows objects that expired meanwhile.
 		f.next = 0
 		return err
 	}
@@ -163,14 +165,15 @@
 	}
 	f.next, f.changed = changes.Revision, len(changes.Events) > 0
 	if changes.SkippedEvents > 0 {
-		// Whose events they were, the list tells: who is missing there.
-		f.logger.Warn("events of a watch cannot be read, listing anew", "kind", f.kind, "events", changes.SkippedEvents, "revision", f.next)
+		// The list shows which objects are affected: they are missing there.
+		f.logger.Warn("watch events cannot be decoded, listing again", "kind", f.kind, "events", changes.SkippedEvents, "revision", f.next)
 		f.next = 0
 	}
 	return nil
 }
 
-// delayNextPoll lets further changes come together after some. What has come is told by then.
+// delayNextPoll waits for BatchDelay after changes, so that the next watch returns
+// several at once. The consumer has already received the earlier ones.
 func (f *Follower) delayNextPoll(ctx context.Context) {
 	if !f.changed || f.options.BatchDelay <= 0 {
 		return
@@ -191,7 +194,7 @@
 		return err
 	}
 	if page.SkippedObjects > 0 {
-		f.logger.Warn("objects of a list cannot be read", "kind", f.kind, "objects", page.SkippedObjects, "revision", page.Revision)
+		f.logger.Warn("list objects cannot be decoded", "kind", f.kind, "objects", page.SkippedObjects, "revision", page.Revision)
 	}
 	f.consumer.Replace(page, f.failed)
 	f.next, f.asOf = page.Revision, begun
--- a/internal/store/follow_test.go
+++ b/internal/store/follow_test.go
@@ -11,7 +11,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// busyStore has a change for each watch.
+// busyStore returns a change for each watch at once.
 type busyStore struct {
 	Store
 	watched []time.Time
@@ -27,18 +27,19 @@
 // recordingConsumer records when changes were applied and when the revision was advanced.
 type recordingConsumer struct{ applied, advanced []time.Time }
 
-func (c *recordingConsumer) Replace(Page, bool) {}
+func (r *recordingConsumer) Replace(Page, bool) {}
 
-func (c *recordingConsumer) Apply([]Event, int64) { c.applied = append(c.applied, time.Now()) }
+func (r *recordingConsumer) Apply([]Event, int64) { r.applied = append(r.applied, time.Now()) }
 
-func (c *recordingConsumer) Advance(revision int64, _ time.Time, _ bool) {
+func (r *recordingConsumer) Advance(revision int64, _ time.Time, _ bool) {
 	if revision > 1 {
-		c.advanced = append(c.advanced, time.Now())
+		r.advanced = append(r.advanced, time.Now())
 	}
 }
 
-// TestRevisionAdvancesBeforeBatchDelay: other daemons fetch a change once the revision
-// is advanced, which must not wait for the next call.
+// TestRevisionAdvancesBeforeBatchDelay checks that the revision is advanced together with
+// the changes. Other daemons fetch a change once the revision is advanced, so this must not
+// wait for the next call.
 func TestRevisionAdvancesBeforeBatchDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -49,7 +50,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
 		defer cancel()
 		f.Run(ctx)
-		c.Assert(consumer.applied, qt.HasLen, 5, qt.Commentf("a call each 200 ms"))
+		c.Assert(consumer.applied, qt.HasLen, 5, qt.Commentf("one call every 200 ms"))
 		c.Check(consumer.advanced, qt.DeepEquals, consumer.applied)
 		for i := 1; i < len(store.watched); i++ {
 			c.Check(store.watched[i].Sub(store.watched[i-1]), qt.Equals, 200*time.Millisecond)
@@ -57,7 +58,7 @@
 	})
 }
 
-// silentStore answers one list and then nothing.
+// silentStore answers the first list and no later call.
 type silentStore struct {
 	Store
 	lists int
@@ -77,7 +78,7 @@
 	return Changes{}, ctx.Err()
 }
 
-// answerCounter counts how often the store was said to have answered.
+// answerCounter counts the calls of Advance that report an answer of the store.
 type answerCounter struct{ count int }
 
 func (a *answerCounter) Replace(Page, bool) {}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,6 @@
-// Package store is the narrow interface at the platform's object store, and
-// what follows a kind of objects through its watches.
+// Package store defines the interface to the platform's object store and a
+// follower that keeps a consumer up to date with one kind of object by list and
+// watch calls.
 package store
 
 import (
@@ -9,80 +10,82 @@
 	"time"
 )
 
-// Errors of a call.
+// Errors of store calls.
 var (
-	// ErrNotFound means that there is no such object.
+	// ErrNotFound means that the object does not exist.
 	ErrNotFound = errors.New("object not found")
-	// ErrConflict means that the object is at another revision, or exists.
-	ErrConflict = errors.New("object was changed by another")
-	// ErrCompacted means that the history that a watch asks for is gone.
-	ErrCompacted = errors.New("history of the watch is gone")
-	// ErrRefused means that the store did nothing.
+	// ErrConflict means that the object is at another revision, or already exists.
+	ErrConflict = errors.New("object was changed by another writer")
+	// ErrCompacted means that the store no longer has the history from the revision of a
+	// watch on.
+	ErrCompacted = errors.New("watch history was compacted")
+	// ErrRefused means that the store rejected the call and changed nothing.
 	ErrRefused = errors.New("store refused the call")
-	// ErrOutcomeUnknown means that a call got no answer: it may have been carried out,
-	// or may be later.
+	// ErrOutcomeUnknown means that a call got no answer. It may have taken effect or
+	// may still do so later.
 	ErrOutcomeUnknown = errors.New("store gave no answer")
 )
 
-// Object is one object.
+// Object is a stored object with its spec and status as JSON.
 type Object struct {
 	Name string
-	// Revision is the store's revision at the object's last change, Created the one at which
-	// it was made.
+	// Revision is the store's revision at the object's last change. Created is the revision
+	// at its creation.
 	Revision int64
 	Created  int64
 	Spec     json.RawMessage
 	Status   json.RawMessage
 }
 
-// Page is every object of a kind at a revision of the store.
+// Page holds all objects of a kind at one revision of the store.
 type Page struct {
 	Objects  []Object
 	Revision int64
-	// SkippedObjects is the number of objects left out since not even their name could be read.
+	// SkippedObjects is the number of objects left out because their name could not be
+	// decoded.
 	SkippedObjects int
 }
 
-// Event is a change of an object.
+// Event is a change or deletion of an object.
 type Event struct {
 	Object  Object
 	Deleted bool
 }
 
-// Changes are what a watch saw, and the revision to go on from.
+// Changes holds the events of one watch call and the revision to continue from.
 type Changes struct {
 	Events   []Event
 	Revision int64
-	// SkippedEvents is the number of events left out since the name of their object could not
-	// be read.
+	// SkippedEvents is the number of events left out because the name of their object could
+	// not be decoded.
 	SkippedEvents int
 }
 
-// Store is the object store.
+// Store is the client interface of the object store.
 type Store interface {
-	// List returns all objects of a kind, not older than the call.
+	// List returns all objects of a kind, at least as recent as the start of the call.
 	List(ctx context.Context, kind string) (Page, error)
-	// ListStale returns all objects of a kind as they were some seconds ago at most, at a
-	// tenth of the price and beside the store's rate.
+	// ListStale returns all objects of a kind, at most some seconds old. It costs a tenth of
+	// the price of List and does not count against the store's rate limit.
 	ListStale(ctx context.Context, kind string) (Page, error)
-	// Ping returns nil if the store is reached, at a tenth of the price of another call. A watch
-	// that waits on a connection that is dead does not tell.
+	// Ping returns nil if the store can be reached. It costs a tenth of the price of another
+	// call. It is needed because a watch that waits on a dead connection reports no error.
 	Ping(ctx context.Context) error
-	// Watch waits at most that long for changes after a revision.
+	// Watch waits for changes after a revision, at most for the given time.
 	Watch(ctx context.Context, kind string, after int64, wait time.Duration) (Changes, error)
-	// Get returns one object, not older than the call.
+	// Get returns one object, at least as recent as the start of the call.
 	Get(ctx context.Context, kind, name string) (Object, error)
-	// Create makes an object. ErrConflict means that it exists.
+	// Create creates an object. It returns ErrConflict if the object exists.
 	Create(ctx context.Context, kind, name string, spec any) (Object, error)
-	// Replace writes the spec of an object that is at the revision.
+	// Replace writes the spec of an object if it is at the given revision.
 	Replace(ctx context.Context, kind, name string, revision int64, spec any) (Object, error)
-	// ReplaceStatus writes the status of an object that is at the revision.
+	// ReplaceStatus writes the status of an object if it is at the given revision.
 	ReplaceStatus(ctx context.Context, kind, name string, revision int64, status any) (Object, error)
-	// Delete removes an object that is at the revision.
+	// Delete removes an object if it is at the given revision.
 	Delete(ctx context.Context, kind, name string, revision int64) error
 }
 
-// Overwrite writes an object whatever stands there, and makes it where there is none.
+// Overwrite replaces an object at any revision, or creates it if it does not exist.
 func Overwrite(ctx context.Context, s Store, kind, name string, spec any) error {
 	_, err := s.Replace(ctx, kind, name, 0, spec)
 	if errors.Is(err, ErrNotFound) {
--- a/internal/store/values.go
+++ b/internal/store/values.go
@@ -9,50 +9,51 @@
 	"time"
 )
 
-// Errors of values, beside those of the store.
+// Errors of Values, in addition to those of the store.
 var (
 	// ErrUnchanged means that a watch ended without a change.
 	ErrUnchanged = errors.New("value unchanged")
-	// ErrTooLarge means that the value is above MaxValueBytes.
+	// ErrTooLarge means that the value is larger than MaxValueBytes.
 	ErrTooLarge = errors.New("value too large for the store")
 )
 
-// MaxValueBytes is the largest value that the store holds, in bytes.
+// MaxValueBytes is the size limit of a value in the store.
 const MaxValueBytes = 1 << 20
 
-// Value is a piece of bytes under a key.
+// Value holds the bytes stored under a key.
 type Value struct {
 	Key  string
 	Data []byte
-	// Version grows with each change of any object; zero stands for "does not
-	// exist".
+	// Version is the store's revision at the last change, which grows with each
+	// change of any object. Zero means that the value does not exist.
 	Version int64
 }
 
-// Values holds bytes under keys, in objects of one kind.
+// Values is a key-value view of the objects of one kind.
 type Values interface {
-	// Get returns the value or ErrNotFound.
+	// Get returns the value, or ErrNotFound if it does not exist.
 	Get(ctx context.Context, key string) (Value, error)
-	// Put writes the value if it still has the expected version. It returns
-	// ErrConflict if not, and ErrOutcomeUnknown if the write may or may not have taken
-	// effect.
+	// Put writes the value if it still has the expected version, and returns
+	// ErrConflict otherwise. It returns ErrOutcomeUnknown if the write may or may
+	// not have taken effect.
 	Put(ctx context.Context, key string, data []byte, expected int64) (Value, error)
 	// List returns the values whose keys begin with the prefix.
 	List(ctx context.Context, prefix string) ([]Value, error)
-	// Delete removes a value. Removing one that does not exist is no error.
+	// Delete removes a value. It returns nil if the value does not exist.
 	Delete(ctx context.Context, key string) error
 	// Watch waits until the value has a version above after and returns it. It
-	// returns ErrUnchanged when the wait is over.
+	// returns ErrUnchanged if wait passes first.
 	Watch(ctx context.Context, key string, after int64, wait time.Duration) (Value, error)
 }
 
-// KindValues keeps values in the objects of one kind. It implements Values.
+// KindValues implements Values. It stores each value as the spec of an object of
+// one kind.
 type KindValues struct {
 	store Store
 	kind  string
 }
 
-// NewValues returns the values of a kind.
+// NewValues returns the values stored in objects of the given kind.
 func NewValues(s Store, kind string) *KindValues { return &KindValues{store: s, kind: kind} }
 
 func decodeValue(object Object) (Value, error) {
@@ -85,7 +86,7 @@
 		object, err = v.store.Replace(ctx, v.kind, key, expected, data)
 	}
 	if errors.Is(err, ErrNotFound) {
-		// Another has deleted it.
+		// Another writer has deleted the object.
 		err = fmt.Errorf("%w: %w", ErrConflict, err)
 	}
 	return Value{Key: key, Data: data, Version: object.Revision}, err
@@ -120,8 +121,8 @@
 	return err
 }
 
-// Watch implements Values. The store watches a kind; changes of other keys are
-// passed over.
+// Watch implements Values. A watch of the store covers the whole kind, so changes
+// of other keys are ignored.
 func (v *KindValues) Watch(ctx context.Context, key string, after int64, wait time.Duration) (Value, error) {
 	end := time.Now().Add(wait)
 	value, next, err := v.currentValue(ctx, key, after)
@@ -144,8 +145,8 @@
 	return Value{}, ErrUnchanged
 }
 
-// currentValue returns the value as it is, if its version is not known, and the
-// revision to watch from.
+// currentValue returns the revision to watch from. If after is zero, it also lists
+// the kind and returns the current value, which is zero if the key does not exist.
 func (v *KindValues) currentValue(ctx context.Context, key string, after int64) (Value, int64, error) {
 	if after > 0 {
 		return Value{}, after, nil
@@ -163,8 +164,8 @@
 	return Value{}, page.Revision, nil
 }
 
-// latestObject returns the newest state of an object among events, unless it was
-// deleted.
+// latestObject returns the object of the last event with the given name. It
+// returns false if there is none or if the event is a deletion.
 func latestObject(events []Event, name string) (Object, bool) {
 	for i := len(events) - 1; i >= 0; i-- {
 		if events[i].Object.Name == name {
