--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -7,7 +7,7 @@
 	"github.com/plankridge/plankridge/internal/finding"
 )
 
-// checker finds contradictions between the items of a deployment.
+// checker validates the items of a deployment and the references between them.
 type checker struct {
 	findings *finding.List
 	zones    map[string]bool
@@ -175,7 +175,7 @@
 	}
 }
 
-// checkModelRoute rejects what contradicts the nature of a model: generation can
+// checkModelRoute rejects settings that do not apply to a model: generation can
 // always be repeated, and a model has no paths.
 func (c *checker) checkModelRoute(route located[Route]) {
 	if route.item.Path != "" {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 	_ "github.com/plankridge/plankridge/internal/standin/fixedseed"
 )
 
-// findingLines returns the findings of an invalid text.
+// findingLines loads an invalid text and returns its findings as lines.
 func findingLines(c *qt.C, text string) []string {
 	_, err := Load([]File{{Name: "a.yaml", Content: []byte(text)}})
 	c.Assert(err, qt.IsNotNil)
@@ -102,7 +102,7 @@
 	c.Check(err, qt.ErrorMatches, `(?s)s.yaml:1:1: peers: set tls.*s.yaml:4:42: platform.token: file and env contradict.*s.yaml:5:10: limits.body_bytes: must be.*`)
 }
 
-// TestEditedSampleNeverPanics feeds the decoder what operators might.
+// TestEditedSampleNeverPanics loads a sample file with random single-byte edits.
 func TestEditedSampleNeverPanics(t *testing.T) {
 	sample, err := os.ReadFile("../../examples/ndiaye/services.yaml")
 	qt.New(t).Assert(err, qt.IsNil)
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// applyDefaults fills in what the files left out.
+// applyDefaults sets the fields that the files leave unset.
 func (d *Deployment) applyDefaults() {
 	for i := range d.Services {
 		service := &d.Services[i]
@@ -56,7 +56,7 @@
 	setDefault(&r.Targets.QueueWait, defaultQueueWait)
 }
 
-// DefaultSettings returns the settings that hold where a file is silent.
+// DefaultSettings returns the values of settings that a file leaves unset.
 func DefaultSettings() Settings {
 	return Settings{
 		Limits: RequestLimits{
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// ChangeKind says how an item differs.
+// ChangeKind is the kind of difference between two versions of an item.
 type ChangeKind string
 
 // The kinds of change.
@@ -25,7 +25,7 @@
 	After  json.RawMessage `json:"after,omitempty"`
 }
 
-// Diff returns what changes from one deployment to another, by item name.
+// Diff returns the changes from one deployment to another, sorted by item name.
 func Diff(before, after *Deployment) []Change {
 	old, wanted := before.items(), after.items()
 	changes := []Change{}
@@ -47,7 +47,7 @@
 	return changes
 }
 
-// items returns every item of a deployment as JSON, by kind and name.
+// items returns all items of a deployment as JSON, keyed by kind and name.
 func (d *Deployment) items() map[string]json.RawMessage {
 	items := map[string]json.RawMessage{}
 	for _, item := range d.Zones {
@@ -70,11 +70,11 @@
 	return items
 }
 
-// encodeItem encodes one item. The types of this package always encode.
+// encodeItem encodes one item as JSON. Encoding the types of this package cannot fail.
 func encodeItem(item any) json.RawMessage {
 	raw, err := json.Marshal(item)
 	if err != nil {
-		panic("config: item does not encode: " + err.Error())
+		panic("config: encode item: " + err.Error())
 	}
 	return raw
 }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -8,7 +8,7 @@
 	"github.com/plankridge/plankridge/internal/finding"
 )
 
-// FuzzLoad feeds the decoder any text. It is valid or has findings with places.
+// FuzzLoad checks that any text is either valid or yields findings with places.
 func FuzzLoad(f *testing.F) {
 	for _, name := range []string{"../../examples/ndiaye/services.yaml", "../../testdata/five-mistakes.yaml"} {
 		raw, err := os.ReadFile(name)
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -18,8 +18,8 @@
 	Content []byte `json:"content"`
 }
 
-// ReadFiles reads the named files. A folder stands for the .yaml and .yml
-// files in it.
+// ReadFiles reads the given files. For a folder it reads the .yaml and .yml files
+// in it.
 func ReadFiles(paths []string) ([]File, error) {
 	var files []File
 	for _, path := range paths {
@@ -50,27 +50,29 @@
 	for _, pattern := range []string{"*.yaml", "*.yml"} {
 		matches, err := filepath.Glob(filepath.Join(path, pattern))
 		if err != nil {
-			return nil, eris.Wrap(err, "list folder to apply")
+			return nil, eris.Wrap(err, "list files of folder to apply")
 		}
 		names = append(names, matches...)
 	}
 	if len(names) == 0 {
-		return nil, eris.Errorf("folder %s holds no .yaml or .yml file", path)
+		return nil, eris.Errorf("folder %s contains no .yaml or .yml file", path)
 	}
 	slices.Sort(names)
 	return names, nil
 }
 
-// placeFunc returns the position of an item of the merged deployment.
+// placeFunc returns the position of a field within an item, given the path of the
+// field relative to the item. The empty path means the item itself.
 type placeFunc func(suffix string) finding.Place
 
-// located is an item of a section together with where it stands.
+// located is an item of a section together with its position.
 type located[T any] struct {
 	item  *T
 	place placeFunc
 }
 
-// mergedDeployment is the deployment with the place of each item.
+// mergedDeployment is the deployment merged from all files, with the position of
+// each item.
 type mergedDeployment struct {
 	deployment      Deployment
 	zonePlaces      []placeFunc
@@ -80,22 +82,22 @@
 	routePlaces     []placeFunc
 }
 
-// Load decodes and checks the files as one deployment. The error is a
-// *finding.Error with every mistake in any of them.
+// Load decodes the files and validates them as one deployment. The error is a
+// *finding.Error with all mistakes in all files.
 func Load(files []File) (*Deployment, error) {
-	var found finding.List
-	all := &mergedDeployment{}
+	var findings finding.List
+	merged := &mergedDeployment{}
 	for _, file := range files {
 		var part Deployment
-		source := strictyaml.Decode(file.Name, file.Content, &part, &found)
-		all.add(part, source)
+		source := strictyaml.Decode(file.Name, file.Content, &part, &findings)
+		merged.add(part, source)
 	}
-	all.deployment.applyDefaults()
-	all.check(&found)
-	if err := found.Err(); err != nil {
+	merged.deployment.applyDefaults()
+	merged.check(&findings)
+	if err := findings.Err(); err != nil {
 		return nil, err
 	}
-	return &all.deployment, nil
+	return &merged.deployment, nil
 }
 
 func (m *mergedDeployment) add(part Deployment, source *strictyaml.Source) {
--- a/internal/config/lookup.go
+++ b/internal/config/lookup.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// DigestKey returns the digest under which a bearer key stands in the files.
+// DigestKey returns the digest by which deployment files refer to a bearer key.
 func DigestKey(key string) KeyDigest {
 	sum := sha256.Sum256([]byte(key))
 	return KeyDigest(hex.EncodeToString(sum[:]))
 }
 
-// Index answers the questions of the request path about a deployment. It is
-// immutable; a new generation makes a new one.
+// Index holds the lookup tables of a deployment for the request path. It is
+// immutable and safe for concurrent use. Each generation has its own Index.
 type Index struct {
 	Deployment *Deployment
 	byKey      map[KeyDigest]*Workspace
@@ -67,7 +67,7 @@
 // Service returns a service by name, or nil.
 func (x *Index) Service(name string) *Service { return x.services[name] }
 
-// Price returns the price of a VM per hour, and zero where none is known.
+// Price returns the price of a VM per hour, or zero if it is not known.
 func (x *Index) Price(class, zone string, market Market) float64 {
 	return x.prices[priceKey{class, zone, market}]
 }
@@ -77,9 +77,9 @@
 	return slices.Contains(w.Services, service)
 }
 
-// Route returns the route with the longest path prefix that fits the call. A
-// call that no route names is awaited and as idempotent as its method is by
-// RFC 9110.
+// Route returns the matching route with the longest path prefix. A call without a
+// matching route gets the class awaited. It is idempotent if the service is a model
+// or if RFC 9110 defines its method as idempotent.
 func (x *Index) Route(service *Service, method, path string) Route {
 	var best *Route
 	for _, route := range x.routes[service.Name] {
@@ -117,7 +117,7 @@
 	return false
 }
 
-// FleetPricePerHour returns the price per hour of all runners of the deployment.
+// FleetPricePerHour returns the total price per hour of all runners of the deployment.
 func (x *Index) FleetPricePerHour() float64 {
 	total := 0.0
 	for _, service := range x.Deployment.Services {
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -16,13 +16,13 @@
 // RouterSettings are the settings of a daemon that serves on the users'
 // platform.
 type RouterSettings struct {
-	// Kind tells these settings from those of other daemons.
+	// Kind distinguishes these settings from those of other daemons.
 	Kind   SettingsKind  `yaml:"kind,required"`
 	VM     RouterVM      `yaml:"vm,required"`
 	Listen RouterListen  `yaml:"listen,required"`
 	Peers  RouterPeers   `yaml:"peers"`
 	Store  RouterAddress `yaml:"store,required"`
-	// Cloud is empty where there are no servers to order and no usage to report.
+	// Cloud is empty if the daemon neither orders servers nor reports usage.
 	Cloud  RouterAddress `yaml:"cloud"`
 	Bounds RouterBounds  `yaml:"bounds,required"`
 }
@@ -34,11 +34,9 @@
 const RouterKind SettingsKind = "router"
 
 // UnmarshalText accepts the known kinds only.
-func (k *SettingsKind) UnmarshalText(text []byte) error {
-	return parseOneOf(text, k, RouterKind)
-}
+func (k *SettingsKind) UnmarshalText(text []byte) error { return parseOneOf(text, k, RouterKind) }
 
-// RouterVM says who and where the daemon is.
+// RouterVM identifies the daemon's VM and its location.
 type RouterVM struct {
 	ID     string `yaml:"id,required"`
 	Zone   string `yaml:"zone,required"`
@@ -49,16 +47,17 @@
 type RouterListen struct {
 	Callers   string `yaml:"callers,required"`
 	Readiness string `yaml:"readiness,required"`
-	// Peers is used for calls (TCP) and for datagrams (UDP).
+	// Peers is used both for calls (TCP) and for datagrams (UDP).
 	Peers   string `yaml:"peers,required"`
 	Metrics string `yaml:"metrics"`
 }
 
-// RouterPeers names daemons to begin with. They may be down or gone.
+// RouterPeers holds the settings for joining the other daemons. The daemons at the
+// seed addresses may be down or gone.
 type RouterPeers struct {
 	Seeds []string `yaml:"seeds"`
-	// Bootstrap is set when all daemons start for the first time: none has left an entry
-	// in the store yet.
+	// Bootstrap is set when all daemons start for the first time, so that the store holds
+	// no entry of any of them yet.
 	Bootstrap bool `yaml:"bootstrap"`
 }
 
@@ -67,41 +66,42 @@
 	Address string `yaml:"address"`
 }
 
-// RouterBounds are the times and shares that the platform's operator sets.
+// RouterBounds holds the time limits and shares that the platform's operator sets.
 type RouterBounds struct {
-	// DrainTimeout is the time from the request to stop until the process is killed.
+	// DrainTimeout is the time from the stop request until the process is killed.
 	DrainTimeout Duration `yaml:"drain,required"`
 	Lease        Duration `yaml:"lease,required"`
-	// RetryRatio and RetryExtra bound sendings beyond the first in any
-	// RetryWindow: RetryRatio for each request and RetryExtra besides.
+	// RetryRatio and RetryExtra bound the attempts beyond the first in any
+	// RetryWindow: RetryRatio for each request plus RetryExtra.
 	RetryRatio  float64  `yaml:"retry_ratio"`
 	RetryWindow Duration `yaml:"retry_window"`
 	RetryExtra  float64  `yaml:"retry_extra"`
-	// UsageWindow is the length of the windows that usage is reported by, and
-	// UsageDue how long after its end a report is due.
+	// UsageWindow is the length of the windows for which usage is reported. UsageDue
+	// is the time after the end of a window by which its report is due.
 	UsageWindow Duration `yaml:"usage_window"`
 	UsageDue    Duration `yaml:"usage_due"`
-	// QuotaOverShare and QuotaSlackTokens are how far a workspace may get above its
-	// allowance in any QuotaWindow: a share of it, and tokens besides.
+	// QuotaOverShare and QuotaSlackTokens bound how far a workspace may exceed its
+	// allowance in any QuotaWindow: by a share of the allowance plus a number of tokens.
 	QuotaWindow      Duration `yaml:"quota_window"`
 	QuotaOverShare   float64  `yaml:"quota_over"`
 	QuotaSlackTokens float64  `yaml:"quota_slack"`
-	// LeavingLimit is how long a backend server that leaves may be sent requests, from when the store
-	// has taken over that it does. Without it DefaultLeavingLimit holds.
+	// LeavingLimit is how long requests may still be sent to a leaving backend server, from
+	// when the store has recorded that it leaves. If unset, DefaultLeavingLimit applies.
 	LeavingLimit Duration `yaml:"leaving"`
-	// RollOutShare and RollOutSlack are how many requests a bad version may get while a
-	// service moves to it: a share of all, and a number besides. RollOutStop is how long after
-	// its 50th bad answer it may get the last. Without them versions of servers do not matter.
+	// RollOutShare and RollOutSlack bound the requests sent to a bad version during its
+	// roll-out: a share of all requests plus a fixed number. RollOutStop is the time after the
+	// 50th bad answer of a version by which it gets its last request. If they are unset, the
+	// versions of servers are ignored.
 	RollOutShare float64  `yaml:"rollout_share"`
 	RollOutSlack int      `yaml:"rollout_slack"`
 	RollOutStop  Duration `yaml:"rollout_stop"`
 }
 
-// DefaultLeavingLimit is the bound for servers that leave where the settings have none: the least that
-// a drain is of use with.
+// DefaultLeavingLimit applies if the settings have no LeavingLimit. It is the shortest
+// time for which draining a server is useful.
 const DefaultLeavingLimit = 2 * time.Second
 
-// EffectiveLeavingLimit returns how long a backend server that leaves may be sent requests.
+// EffectiveLeavingLimit returns LeavingLimit, or DefaultLeavingLimit if it is unset.
 func (b RouterBounds) EffectiveLeavingLimit() time.Duration {
 	if b.LeavingLimit <= 0 {
 		return DefaultLeavingLimit
@@ -118,8 +118,8 @@
 	return ParseRouterSettings(path, raw)
 }
 
-// ParseRouterSettings decodes a router's settings. The name stands in the
-// places of findings.
+// ParseRouterSettings decodes and validates a router's settings. The name is used
+// as the file name in findings.
 func ParseRouterSettings(name string, raw []byte) (RouterSettings, error) {
 	var settings RouterSettings
 	var found finding.List
@@ -155,7 +155,7 @@
 	return settings, found.Err()
 }
 
-// checkAddresses reports what is not of the form IP:port.
+// checkAddresses reports addresses that are not of the form IP:port.
 func (s *RouterSettings) checkAddresses(source *strictyaml.Source, found *finding.List) {
 	addresses := map[string]string{
 		"listen.callers": s.Listen.Callers, "listen.readiness": s.Listen.Readiness, "listen.peers": s.Listen.Peers,
@@ -171,7 +171,7 @@
 	}
 }
 
-// CheckSettingsFile reports the mistakes of a settings file of any kind.
+// CheckSettingsFile validates a settings file of any kind.
 func CheckSettingsFile(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -185,8 +185,8 @@
 	return err
 }
 
-// IsRouterSettings reports whether a file holds a router's settings. The kind
-// stands on a line of its own.
+// IsRouterSettings reports whether a file holds a router's settings. It decodes
+// only the top-level kind field and ignores all findings.
 func IsRouterSettings(raw []byte) bool {
 	var head struct {
 		Kind string `yaml:"kind"`
--- a/internal/config/router_test.go
+++ b/internal/config/router_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// renderedSettings is deploy/settings.yaml.tmpl as the platform fills it in.
+// renderedSettings is deploy/settings.yaml.tmpl as rendered by the platform.
 const renderedSettings = `kind: router
 vm:
   id: front-hall-nord-1
--- a/internal/config/seed_test.go
+++ b/internal/config/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// Randomised tests take a fixed seed unless the command line gives another.
+// init fixes the seed of randomized tests. The command line can override it.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -21,7 +21,7 @@
 	Drain     Drain            `yaml:"drain"`
 }
 
-// DaemonIdentity says who and where the daemon is.
+// DaemonIdentity identifies the daemon and its zone.
 type DaemonIdentity struct {
 	// ID is the ID of the daemon's VM in the VM list.
 	ID   string `yaml:"id,required"`
@@ -35,7 +35,7 @@
 	Operators string `yaml:"operators,required"`
 }
 
-// PlatformSettings names the platform's endpoints.
+// PlatformSettings holds the platform's endpoints and the token for them.
 type PlatformSettings struct {
 	Objects string `yaml:"objects,required"`
 	VMs     string `yaml:"vms,required"`
@@ -43,33 +43,33 @@
 	Token   Secret `yaml:"token"`
 }
 
-// PeerSettings secure the traffic between daemons. Either TLS is set or
-// Plaintext is true.
+// PeerSettings configures the security of traffic between daemons. Either TLS is set
+// or Plaintext is true.
 type PeerSettings struct {
 	Plaintext bool     `yaml:"plaintext"`
 	TLS       *PeerTLS `yaml:"tls"`
 }
 
-// PeerTLS names the files of mutual TLS between daemons. The files are read
-// again when they change.
+// PeerTLS holds the file names for mutual TLS between daemons. The files are
+// reloaded when they change.
 type PeerTLS struct {
 	CertFile string `yaml:"cert_file,required"`
 	KeyFile  string `yaml:"key_file,required"`
 	CAFile   string `yaml:"ca_file,required"`
 }
 
-// OperatorSettings hold the bearer token of the operator API.
+// OperatorSettings holds the bearer token of the operator API.
 type OperatorSettings struct {
 	Token Secret `yaml:"token"`
 }
 
-// Secret is read from a file or from an environment variable.
+// Secret refers to a secret in a file or in an environment variable.
 type Secret struct {
 	File string `yaml:"file"`
 	Env  string `yaml:"env"`
 }
 
-// Read returns the secret. An unset secret reads as the empty string.
+// Read returns the secret, or the empty string if neither source is set.
 func (s Secret) Read() (string, error) {
 	if s.Env != "" {
 		value := os.Getenv(s.Env)
@@ -88,35 +88,36 @@
 	return strings.TrimSpace(string(raw)), nil
 }
 
-// RequestLimits bound what one caller or one request can take.
+// RequestLimits bounds the memory and time of requests.
 type RequestLimits struct {
 	BodyBytes    int      `yaml:"body_bytes"`
 	HeaderBytes  int      `yaml:"header_bytes"`
 	AnswerBytes  int      `yaml:"answer_bytes"`
 	ReadTimeout  Duration `yaml:"read_timeout"`
 	WriteTimeout Duration `yaml:"write_timeout"`
-	// HeldAnswerBytes bounds the memory of finished answers that are kept for late
-	// readers.
+	// HeldAnswerBytes bounds the memory of finished answers that are kept to be
+	// read later.
 	HeldAnswerBytes int `yaml:"held_bytes"`
-	// RequestCopyBytes bounds the memory of copies kept for other daemons.
+	// RequestCopyBytes bounds the memory of request copies kept for other daemons.
 	RequestCopyBytes int `yaml:"copy_bytes"`
 	// AnswerRetention is how long a finished answer can be read again.
 	AnswerRetention Duration `yaml:"answer_kept"`
-	// ResumeGrace is how long an idempotent request runs on after its last
-	// reader has gone.
+	// ResumeGrace is how long an idempotent request continues after its last reader
+	// has disconnected.
 	ResumeGrace Duration `yaml:"resume_grace"`
 	// MaxRequestTime is the longest time from acceptance to the end of a request.
 	MaxRequestTime Duration `yaml:"max_work"`
-	// AttemptIdleTimeout is the longest silence of an engine within one attempt.
+	// AttemptIdleTimeout is the longest time without output from an engine within
+	// one attempt.
 	AttemptIdleTimeout Duration `yaml:"try_timeout"`
-	// PlainAttemptTimeout is the longest time of one attempt at a plain service.
+	// PlainAttemptTimeout is the longest duration of one attempt at a plain service.
 	PlainAttemptTimeout Duration `yaml:"plain_try_limit"`
 }
 
-// Drain says how a daemon shuts down.
+// Drain configures how a daemon shuts down.
 type Drain struct {
-	// Delay is how long the daemon still accepts requests after it has
-	// reported itself as not ready.
+	// Delay is how long the daemon still accepts requests after it reports itself
+	// as not ready.
 	Delay Duration `yaml:"delay"`
 }
 
@@ -129,8 +130,8 @@
 	return ParseSettings(path, raw)
 }
 
-// ParseSettings decodes a daemon's settings. The name stands in the places of
-// findings.
+// ParseSettings decodes and validates a daemon's settings. The name is used as the
+// file name in findings.
 func ParseSettings(name string, raw []byte) (Settings, error) {
 	settings := DefaultSettings()
 	var found finding.List
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -1,7 +1,7 @@
 // Package config defines the two kinds of YAML file that operators write: the
 // settings of one daemon, and the deployment (services, workspaces, routes)
-// that is applied as a whole. It decodes them strictly, fills in defaults in
-// one place and reports every mistake with its place.
+// that is applied as a whole. It decodes them strictly, sets defaults and reports
+// all mistakes with their positions.
 package config
 
 import (
@@ -32,7 +32,7 @@
 // Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// parseOneOf parses a closed set of words.
+// parseOneOf sets out to the allowed value that equals text.
 func parseOneOf[T ~string](text []byte, out *T, allowed ...T) error {
 	for _, word := range allowed {
 		if string(text) == string(word) {
@@ -43,7 +43,7 @@
 	return fmt.Errorf("%q is not one of %v", text, allowed)
 }
 
-// ServiceKind says what stands behind a service.
+// ServiceKind is the kind of backend of a service.
 type ServiceKind string
 
 // The kinds of service.
@@ -57,7 +57,7 @@
 	return parseOneOf(text, k, KindModel, KindPlain)
 }
 
-// Market says how a VM is bought.
+// Market is the pricing model under which a VM is bought.
 type Market string
 
 // The markets of the cloud API.
@@ -71,10 +71,10 @@
 	return parseOneOf(text, m, MarketReclaimable, MarketOnDemand)
 }
 
-// Class says whether a caller waits for the answer.
+// Class states whether a caller waits for the answer.
 type Class string
 
-// The classes of work.
+// The classes of requests.
 const (
 	ClassAwaited    Class = "awaited"
 	ClassDeferrable Class = "deferrable"
@@ -85,23 +85,23 @@
 	return parseOneOf(text, c, ClassAwaited, ClassDeferrable)
 }
 
-// Fencing says whether the backend servers of a service check the fencing
-// number of an order.
+// Fencing states whether the backend servers of a service check the fencing token
+// of an order.
 type Fencing string
 
-// The ways a backend server treats fencing numbers.
+// The ways in which backend servers treat fencing tokens.
 const (
 	FencingChecked Fencing = "checked"
 	FencingIgnored Fencing = "ignored"
 )
 
-// UnmarshalText accepts the known words only.
+// UnmarshalText accepts the known values only.
 func (f *Fencing) UnmarshalText(text []byte) error {
 	return parseOneOf(text, f, FencingChecked, FencingIgnored)
 }
 
-// KeyDigest is the SHA-256 digest of a bearer key, in hexadecimal. The keys
-// themselves never stand in applied files.
+// KeyDigest is the SHA-256 digest of a bearer key, in hexadecimal. Deployment files
+// never contain the keys themselves.
 type KeyDigest string
 
 // UnmarshalText accepts 64 hexadecimal digits.
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// Deployment is everything that operators apply as a whole.
+// Deployment is the configuration that operators apply as a whole.
 type Deployment struct {
 	Zones      []Zone      `yaml:"zones" json:"zones"`
 	VMClasses  []VMClass   `yaml:"vm_classes" json:"vm_classes"`
@@ -123,7 +123,7 @@
 	Routes     []Route     `yaml:"routes" json:"routes"`
 }
 
-// Zone is an availability zone and the region that it lies in.
+// Zone is an availability zone and its region.
 type Zone struct {
 	Name   string `yaml:"name,required" json:"name"`
 	Region string `yaml:"region,required" json:"region"`
@@ -136,14 +136,14 @@
 	Prices       []Price `yaml:"prices,required" json:"prices"`
 }
 
-// Price is the price of a VM class in one availability zone and market.
+// Price is the hourly price of a VM class in one availability zone and market.
 type Price struct {
 	Zone    string  `yaml:"zone,required" json:"zone"`
 	Market  Market  `yaml:"market,required" json:"market"`
 	PerHour float64 `yaml:"per_hour,required" json:"per_hour"`
 }
 
-// Service is a model or a plain service and the runners that it wants.
+// Service is a model or a plain service with its desired runners.
 type Service struct {
 	Name    string       `yaml:"name,required" json:"name"`
 	Kind    ServiceKind  `yaml:"kind,required" json:"kind"`
@@ -152,23 +152,23 @@
 	Fencing Fencing      `yaml:"fencing" json:"fencing"`
 }
 
-// Model names what the engines of a service run, and how fast.
+// Model describes the model that the engines of a service run and its performance.
 type Model struct {
 	Name     string   `yaml:"name,required" json:"name"`
 	Version  string   `yaml:"version,required" json:"version"`
 	Adapters []string `yaml:"adapters" json:"adapters,omitempty"`
-	// PrefillRate is in prompt tokens per second of one runner.
+	// PrefillRate is the rate of one runner in prompt tokens per second.
 	PrefillRate float64 `yaml:"prefill_rate" json:"prefill_rate"`
 	// DecodeInterval is the time between two tokens of one stream on an idle
 	// runner.
 	DecodeInterval Duration `yaml:"decode_interval" json:"decode_interval"`
-	// MaxBatch is the number of requests that a runner decodes at once.
+	// MaxBatch is the number of requests that a runner decodes concurrently.
 	MaxBatch int `yaml:"max_batch" json:"max_batch"`
 	// MaxTokens caps the tokens generated for one request.
 	MaxTokens int `yaml:"max_tokens" json:"max_tokens"`
 }
 
-// RunnerPool is a number of like runners in one availability zone.
+// RunnerPool is a number of identical runners in one availability zone.
 type RunnerPool struct {
 	Zone   string `yaml:"zone,required" json:"zone"`
 	Class  string `yaml:"class,required" json:"class"`
@@ -184,20 +184,20 @@
 	Limits    Limits      `yaml:"limits" json:"limits"`
 	Services  []string    `yaml:"services,required" json:"services"`
 	// HomeZone is the availability zone in which the idempotency keys of the
-	// workspace live.
+	// workspace are stored.
 	HomeZone string `yaml:"home_zone" json:"home_zone,omitempty"`
 }
 
-// Limits bound one workspace over the whole deployment. Zero means no limit.
+// Limits bounds one workspace across the whole deployment. Zero means no limit.
 type Limits struct {
 	RequestsPerSecond float64 `yaml:"requests_per_second" json:"requests_per_second"`
 	InFlight          int     `yaml:"in_flight" json:"in_flight"`
 }
 
-// Route says how the calls under one path of a service are treated.
+// Route defines how calls under one path prefix of a service are handled.
 type Route struct {
 	Service string `yaml:"service,required" json:"service"`
-	// Path is a prefix of the path below the service. It is empty for models.
+	// Path is a path prefix relative to the service. It is empty for models.
 	Path       string   `yaml:"path" json:"path"`
 	Methods    []string `yaml:"methods" json:"methods,omitempty"`
 	Idempotent bool     `yaml:"idempotent,required" json:"idempotent"`
@@ -205,15 +205,15 @@
 	Targets    Targets  `yaml:"targets" json:"targets"`
 }
 
-// Targets are the latencies that a route asks for.
+// Targets holds the latency targets of a route.
 type Targets struct {
 	FirstToken    Duration `yaml:"first_token" json:"first_token"`
 	BetweenTokens Duration `yaml:"between_tokens" json:"between_tokens"`
-	// Answer is the time to the whole answer of a plain service.
+	// Answer is the time to the complete answer of a plain service.
 	Answer Duration `yaml:"answer" json:"answer"`
-	// QueueWait is the longest predicted wait with which a request is still
+	// QueueWait is the longest predicted wait at which a request is still
 	// accepted.
 	QueueWait Duration `yaml:"queue_wait" json:"queue_wait"`
-	// Objective is the share of requests that has to meet the targets.
+	// Objective is the fraction of requests that has to meet the targets.
 	Objective float64 `yaml:"objective" json:"objective"`
 }
