--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -6,39 +6,40 @@
 	"strings"
 )
 
-// Cause is why a request ended as it did.
+// Cause is the reason for the outcome of a request, as printed to operators.
 type Cause string
 
-// The causes.
+// The causes of outcomes.
 const (
 	CauseServed          Cause = "served"
-	CauseUnknown         Cause = "not named by the log"
+	CauseUnknown         Cause = "not stated in the log"
 	CauseCallerLeft      Cause = "the caller left"
 	CauseNoConfig        Cause = "the daemon had no configuration yet"
 	CauseUnknownKey      Cause = "the key was not known under the configuration in force"
 	CauseNoRoute         Cause = "no route under the configuration in force"
-	CauseBadRequest      Cause = "the request itself was not acceptable"
+	CauseBadRequest      Cause = "the request itself was invalid"
 	CauseAboveAllowance  Cause = "the workspace was above its allowance"
 	CauseEndsServers     Cause = "the request ended the servers that ran it and is held back"
 	CauseNoServer        Cause = "the service had no backend server"
-	CauseServersAtLimits Cause = "all servers of the service had asked for rest or were at the limits that they name"
+	CauseServersAtLimits Cause = "all servers of the service had asked for a pause or were at their own limits"
 	CauseOverload        Cause = "the servers were too busy to answer in time"
-	CauseRequestSize     Cause = "the request was predicted to be late by its own size"
+	CauseRequestSize     Cause = "the request was predicted to be late because of its own size"
 	CauseUnreachable     Cause = "no backend server could be reached"
-	CauseDeclined        Cause = "the servers declined for lack of room or had gone"
-	CauseServerError     Cause = "a server answered with a failure of its own"
+	CauseDeclined        Cause = "the servers declined for lack of capacity or were gone"
+	CauseServerError     Cause = "a server answered with an error"
 	CauseAnswerLost      Cause = "a server ran the request and its answer was lost or broken; it may not be repeated"
 	CauseNoMoreAttempts  Cause = "attempts failed and no further one was allowed"
 	CauseTimeout         Cause = "the route's timeout or the caller's limit was reached"
 )
 
-// reasonAtLimits is that of a request for which all servers were passed over.
+// reasonAtLimits is the reason in the log line of a request for which every server was
+// skipped.
 const reasonAtLimits = "backend servers rest or are at the limits that they name"
 
-// lostResults are results of attempts whose answer was lost.
+// lostResults are the results of attempts whose answer was lost or broken.
 var lostResults = []string{"no-answer", "broken-answer", "broken-stream", "event-gap", "unsigned"}
 
-// causeOf names the cause from a request's own lines.
+// causeOf determines the cause from the lines of one request. Only the last line counts.
 func causeOf(lines []Line) Cause {
 	l := lines[len(lines)-1]
 	if l.Message == msgRejected {
@@ -71,8 +72,8 @@
 	return CauseUnknown
 }
 
-// causeOfFailure goes by the reason, and by the attempts where the reason only
-// says that no other was made.
+// causeOfFailure determines the cause from the reason of the line. If the reason only
+// says that no further attempt was made, the result of the last attempt decides.
 func causeOfFailure(l Line) Cause {
 	switch l.Reason {
 	case "workspace is above its allowance":
@@ -109,8 +110,9 @@
 	return CauseUnknown
 }
 
-// overloadOrSize tells a refusal for a queue from one for the request's own size: most
-// of what was predicted is the one or the other. Lines of earlier versions do not say.
+// overloadOrSize distinguishes a refusal because of the queue from one because of the
+// request's own size, by which of them makes up most of the predicted time. Lines of
+// earlier versions lack these times and count as overload.
 func overloadOrSize(attempts []Attempt) Cause {
 	if len(attempts) == 0 {
 		return CauseOverload
@@ -122,14 +124,14 @@
 	return CauseOverload
 }
 
-// CauseCount is the number of requests with a cause.
+// CauseCount is the number of requests with one cause.
 type CauseCount struct {
 	Cause    Cause
 	Requests int
 }
 
-// Summary counts the causes of all requests that were not served, the most
-// frequent first.
+// Summary counts the causes of all requests that were not served, sorted by
+// descending count.
 func Summary(lines []Line) []CauseCount {
 	byRequest := map[string][]Line{}
 	for _, l := range lines {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain reads the daemons' log lines and tells the story of one
-// request: what happened to it, what the daemon believed at the time and how old
-// that was, and the cause of its end.
+// Package explain reads the daemons' log lines and reconstructs the timeline of
+// one request: its attempts, the state that the daemon knew at the time and the
+// age of that state, and the cause of the outcome.
 package explain
 
 import (
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Messages of the log lines that matter here. internal/forward, internal/router
+// Messages of the log lines that are evaluated. internal/forward, internal/router
 // and platform write them.
 const (
 	msgRequestEnded    = "request ended"
@@ -36,24 +36,24 @@
 	msgServerLeaving   = "server leaves by its own announcement"
 )
 
-// Attempt is one sending of a request, as the log shows it.
+// Attempt is one attempt to run a request at a server, as logged.
 type Attempt struct {
 	Server string `json:"server"`
 	Zone   string `json:"zone"`
 	Result string `json:"result"`
-	// StartMS is when the attempt began, in milliseconds since the request arrived,
-	// and TookMS how long it lasted.
+	// StartMS is the start of the attempt in milliseconds since the request arrived.
+	// TookMS is its duration.
 	StartMS int64 `json:"at_ms"`
 	TookMS  int64 `json:"took_ms"`
 	// PredictedMS is the predicted time to the first event.
 	PredictedMS int64 `json:"wait_ms"`
-	// IdleMS is the part of it that the request would take on an idle server, Learned
-	// whether that comes from what was seen of the engines.
+	// IdleMS is the part of PredictedMS that the request would take on an idle server.
+	// Learned reports whether it is based on measurements of the engines.
 	IdleMS  int64 `json:"own_ms"`
 	Learned bool  `json:"learned"`
 }
 
-// Line is one log line.
+// Line is one decoded log line.
 type Line struct {
 	Time      time.Time `json:"time"`
 	Message   string    `json:"msg"`
@@ -64,38 +64,41 @@
 	Outcome   string    `json:"outcome"`
 	Status    int       `json:"status"`
 	Reason    string    `json:"reason"`
-	// Content tells requests that ask the same, Contents are those of several, separated by
-	// blanks.
+	// Content identifies the content of a request and is equal for requests with the same
+	// content. Contents holds the contents of several requests, separated by blanks.
 	Content       string    `json:"content"`
 	Contents      string    `json:"contents"`
 	TookMS        int64     `json:"took_ms"`
 	FirstMS       int64     `json:"first_ms"`
 	Attempts      []Attempt `json:"attempts"`
 	ConfigVersion int64     `json:"config_version"`
-	// ConfigAgeMS and ServersAgeMS are how old the daemon's knowledge was.
+	// ConfigAgeMS and ServersAgeMS are the ages of the daemon's configuration and server
+	// list.
 	ConfigAgeMS  int64 `json:"config_age_ms"`
 	ServersAgeMS int64 `json:"servers_age_ms"`
 	StoreFailing bool  `json:"store_failing"`
 	Draining     bool  `json:"draining"`
-	// Limited, RequestsPerSecond and RestMS are what a server has said of the work that it takes.
+	// Limited, RequestsPerSecond and RestMS are the rate limit and the pause that a server
+	// has announced.
 	Limited           bool    `json:"limited"`
 	RequestsPerSecond float64 `json:"requests_per_second"`
 	RestMS            int64   `json:"rest_ms"`
-	// ReadyIDs, DrainingIDs and GoneIDs are those of the servers that one line tells of,
-	// separated by blanks.
+	// ReadyIDs, DrainingIDs and GoneIDs are the IDs of the servers in a line about several
+	// servers, separated by blanks.
 	ReadyIDs    string `json:"ids_ready"`
 	DrainingIDs string `json:"ids_draining"`
 	GoneIDs     string `json:"ids_gone"`
-	// Raw is the line as it was written.
+	// Raw is the text of the line from the first brace on, or a generated text for a line
+	// that expand has split off.
 	Raw string `json:"-"`
 }
 
-// maxLineBytes bounds a log line in bytes.
+// maxLineBytes bounds the length of a log line.
 const maxLineBytes = 1 << 20
 
-// Read returns the lines of a log. What stands before the first brace of a line
-// is passed over, as collectors put a time or a name there. broken counts lines
-// that cannot be read.
+// Read returns the lines of a log. It ignores the text before the first brace of a
+// line, because log collectors put a time or a name there. broken is the number of
+// lines that could not be decoded.
 func Read(r io.Reader) (lines []Line, broken int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
@@ -116,8 +119,8 @@
 	return lines, broken, scanner.Err()
 }
 
-// expand returns a line that tells of many servers as one line for each, any other line as it
-// is.
+// expand splits a line about several servers into one line for each server. It returns any
+// other line unchanged.
 func (l Line) expand() []Line {
 	if l.Message != msgServersChanged {
 		return []Line{l}
@@ -135,16 +138,16 @@
 	return lines
 }
 
-// Timeline is what the logs tell of one request.
+// Timeline holds the log lines that explain the outcome of one request.
 type Timeline struct {
 	ID string
-	// Lines are the request's own lines and those that tell what its daemon
-	// believed, in the order of time.
+	// Lines are the request's own lines and those about the state that its daemon
+	// knew, sorted by time.
 	Lines []Line
 	Cause Cause
 }
 
-// BuildTimeline returns the story of a request. It returns false when no line names it.
+// BuildTimeline returns the timeline of a request, or false if no line has its ID.
 func BuildTimeline(lines []Line, id string) (Timeline, bool) {
 	var own []Line
 	for _, l := range lines {
@@ -155,19 +158,19 @@
 	if len(own) == 0 {
 		return Timeline{}, false
 	}
-	story := Timeline{ID: id, Lines: own, Cause: causeOf(own)}
+	timeline := Timeline{ID: id, Lines: own, Cause: causeOf(own)}
 	for _, l := range own {
-		story.Lines = append(story.Lines, contextLines(lines, l)...)
+		timeline.Lines = append(timeline.Lines, contextLines(lines, l)...)
 	}
-	slices.SortStableFunc(story.Lines, func(a, b Line) int {
+	slices.SortStableFunc(timeline.Lines, func(a, b Line) int {
 		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.VM, b.VM))
 	})
-	story.Lines = slices.CompactFunc(story.Lines, func(a, b Line) bool { return a.Raw == b.Raw })
-	return story, true
+	timeline.Lines = slices.CompactFunc(timeline.Lines, func(a, b Line) bool { return a.Raw == b.Raw })
+	return timeline, true
 }
 
-// contextLines returns the last line before a request's end, at the same daemon, on
-// each thing that its daemon went by.
+// contextLines returns the lines that describe the state known to the daemon at a
+// request's end: for each topic the last line of the same daemon up to then.
 func contextLines(lines []Line, of Line) []Line {
 	last := map[string]Line{}
 	keep := func(topic string, l Line) {
@@ -213,13 +216,13 @@
 	return out
 }
 
-// Print writes a story, one line an event, with the time before the request's
-// end.
-func (s Timeline) Print(w io.Writer) error {
-	end := s.requestEnd()
+// Print writes the timeline with one line per event. Times are relative to the
+// request's end.
+func (t Timeline) Print(w io.Writer) error {
+	end := t.requestEnd()
 	var out strings.Builder
-	_, _ = fmt.Fprintf(&out, "request %s\ncause: %s\n", s.ID, s.Cause)
-	for _, l := range s.Lines {
+	_, _ = fmt.Fprintf(&out, "request %s\ncause: %s\n", t.ID, t.Cause)
+	for _, l := range t.Lines {
 		_, _ = fmt.Fprintf(&out, "%9.3fs  %-24s %s\n", l.Time.Sub(end).Seconds(), l.VM, describe(l))
 		for _, a := range l.Attempts {
 			_, _ = fmt.Fprintf(&out, "%36s at %d ms to %s in %s, first event predicted after %d ms (%d ms on an idle server): %s after %d ms\n",
@@ -230,9 +233,9 @@
 	return err
 }
 
-func (s Timeline) requestEnd() time.Time {
-	for _, l := range slices.Backward(s.Lines) {
-		if l.RequestID == s.ID {
+func (t Timeline) requestEnd() time.Time {
+	for _, l := range slices.Backward(t.Lines) {
+		if l.RequestID == t.ID {
 			return l.Time
 		}
 	}
@@ -246,14 +249,14 @@
 		if l.Reason != "" {
 			text += ": " + l.Reason
 		}
-		text += fmt.Sprintf(" (configuration in force for %d ms, servers as of %d ms ago", l.ConfigAgeMS, l.ServersAgeMS)
+		text += fmt.Sprintf(" (configuration in force for %d ms, server list %d ms old", l.ConfigAgeMS, l.ServersAgeMS)
 		if l.StoreFailing {
 			text += ", the store did not answer"
 		}
 		text += ")"
 		return text
 	case msgRejected:
-		return fmt.Sprintf("refused at the door with status %d: %s", l.Status, l.Reason)
+		return fmt.Sprintf("refused at ingress with status %d: %s", l.Status, l.Reason)
 	case msgConfig:
 		return fmt.Sprintf("configuration %d came into force", l.ConfigVersion)
 	case msgServerListed:
@@ -265,20 +268,20 @@
 	case msgServerGone:
 		return fmt.Sprintf("server %s left the list", l.Server)
 	case msgServerEnded:
-		return fmt.Sprintf("server %s ended while it had this request, or one that asks the same", l.Server)
+		return fmt.Sprintf("server %s ended while it had this request or one with the same content", l.Server)
 	case msgHeldBack:
-		return "what the request asks is held back from now on"
+		return "requests with this content are held back from now on"
 	case msgServerLimit:
 		if !l.Limited {
-			return fmt.Sprintf("server %s names no limit any more", l.Server)
+			return fmt.Sprintf("server %s no longer names a limit", l.Server)
 		}
-		return fmt.Sprintf("server %s takes %g requests a second from all daemons", l.Server, l.RequestsPerSecond)
+		return fmt.Sprintf("server %s accepts %g requests per second from all daemons", l.Server, l.RequestsPerSecond)
 	case msgServerRest:
-		return fmt.Sprintf("server %s declined and wants no requests for %d ms", l.Server, l.RestMS)
+		return fmt.Sprintf("server %s declined a request and asked for a pause of %d ms", l.Server, l.RestMS)
 	case msgServerLeaving:
-		return fmt.Sprintf("server %s leaves by its own word", l.Server)
+		return fmt.Sprintf("server %s announced that it is leaving", l.Server)
 	case msgServerRestarted:
-		return fmt.Sprintf("server %s has started again and knows nothing of before", l.Server)
+		return fmt.Sprintf("server %s has started again without its earlier state", l.Server)
 	}
 	return l.Message
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -25,31 +25,32 @@
 	lines, broken, err := Read(strings.NewReader(sampleLog))
 	c.Assert(err, qt.IsNil)
 	c.Check(broken, qt.Equals, 1)
-	story, found := BuildTimeline(lines, "a")
+	timeline, found := BuildTimeline(lines, "a")
 	c.Assert(found, qt.IsTrue)
-	c.Check(story.Cause, qt.Equals, CauseAnswerLost)
+	c.Check(timeline.Cause, qt.Equals, CauseAnswerLost)
 	var out bytes.Buffer
-	c.Assert(story.Print(&out), qt.IsNil)
+	c.Assert(timeline.Print(&out), qt.IsNil)
 	c.Check(out.String(), qt.Contains, "-2.000s  vm-1")
 	c.Check(out.String(), qt.Contains, "configuration 7 came into force")
 	c.Check(out.String(), qt.Contains, "server i-1 was listed as ready")
 	c.Check(out.String(), qt.Contains, "no-answer after 11 ms")
-	c.Check(strings.Contains(out.String(), "configuration 8"), qt.IsFalse, qt.Commentf("what came later was not believed"))
-	c.Check(strings.Contains(out.String(), "draining"), qt.IsFalse, qt.Commentf("what another daemon believed does not count"))
+	c.Check(strings.Contains(out.String(), "configuration 8"), qt.IsFalse, qt.Commentf("later configurations are left out"))
+	c.Check(strings.Contains(out.String(), "draining"), qt.IsFalse, qt.Commentf("lines of other daemons are left out"))
 	_, found = BuildTimeline(lines, "unknown")
 	c.Check(found, qt.IsFalse)
 }
 
-// TestTimelineFromServersChangedLine: changes that come together stand in one line.
+// TestTimelineFromServersChangedLine covers log lines that report changes of several
+// servers.
 func TestTimelineFromServersChangedLine(t *testing.T) {
 	c := qt.New(t)
 	lines, _, err := Read(strings.NewReader(`{"time":"2026-01-01T00:00:01Z","msg":"servers changed","vm":"vm-1","ids_ready":"i-1 i-2","ids_draining":"i-3","ids_gone":"i-4"}
 {"time":"2026-01-01T00:00:02Z","msg":"server has started again","vm":"vm-1","server":"i-2"}
 {"time":"2026-01-01T00:00:03Z","msg":"request ended","vm":"vm-1","request_id":"a","outcome":"failed","status":502,"attempts":[{"server":"i-2","result":"no-answer"},{"server":"i-3","result":"no-answer"},{"server":"i-4","result":"no-answer"}]}`))
 	c.Assert(err, qt.IsNil)
-	story, _ := BuildTimeline(lines, "a")
+	timeline, _ := BuildTimeline(lines, "a")
 	var out bytes.Buffer
-	c.Assert(story.Print(&out), qt.IsNil)
+	c.Assert(timeline.Print(&out), qt.IsNil)
 	c.Check(out.String(), qt.Contains, "server i-2 has started again")
 	c.Check(out.String(), qt.Contains, "server i-3 was listed as draining")
 	c.Check(out.String(), qt.Contains, "server i-4 left the list")
@@ -63,13 +64,13 @@
 {"time":"2026-01-01T00:00:02Z","msg":"server leaves by its own announcement","vm":"vm-1","server":"i-4","service":"s"}
 {"time":"2026-01-01T00:00:03Z","msg":"request ended","vm":"vm-1","request_id":"a","service":"s","outcome":"refused","status":503,"reason":"backend servers rest or are at the limits that they name"}`))
 	c.Assert(err, qt.IsNil)
-	story, _ := BuildTimeline(lines, "a")
-	c.Check(story.Cause, qt.Equals, CauseServersAtLimits)
+	timeline, _ := BuildTimeline(lines, "a")
+	c.Check(timeline.Cause, qt.Equals, CauseServersAtLimits)
 	var out bytes.Buffer
-	c.Assert(story.Print(&out), qt.IsNil)
-	c.Check(out.String(), qt.Contains, "server i-1 takes 1.2 requests a second from all daemons")
-	c.Check(out.String(), qt.Contains, "server i-3 declined and wants no requests for 3000 ms")
-	c.Check(out.String(), qt.Contains, "server i-4 leaves by its own word")
+	c.Assert(timeline.Print(&out), qt.IsNil)
+	c.Check(out.String(), qt.Contains, "server i-1 accepts 1.2 requests per second from all daemons")
+	c.Check(out.String(), qt.Contains, "server i-3 declined a request and asked for a pause of 3000 ms")
+	c.Check(out.String(), qt.Contains, "server i-4 announced that it is leaving")
 	c.Check(strings.Contains(out.String(), "i-2"), qt.IsFalse)
 }
 
@@ -80,8 +81,8 @@
 	c.Check(Summary(lines), qt.DeepEquals, []CauseCount{{CauseAnswerLost, 1}, {CauseUnknownKey, 1}})
 }
 
-// TestTimelineOfHeldBackRequest names the servers that ended under requests that ask the
-// same, at its daemon.
+// TestTimelineOfHeldBackRequest checks that the timeline includes the servers that ended
+// while they had requests with the same content, as logged by the same daemon.
 func TestTimelineOfHeldBackRequest(t *testing.T) {
 	c := qt.New(t)
 	lines, _, err := Read(strings.NewReader(`{"time":"2000-01-01T00:00:01Z","msg":"server has ended under requests","vm":"a","server":"i-1","contents":"0b 0a"}
@@ -91,15 +92,15 @@
 {"time":"2000-01-01T00:00:05Z","msg":"request ended","vm":"a","request_id":"r","content":"0a","outcome":"refused","status":503,"reason":"request ends the servers that run it"}
 `))
 	c.Assert(err, qt.IsNil)
-	story, found := BuildTimeline(lines, "r")
+	timeline, found := BuildTimeline(lines, "r")
 	c.Assert(found, qt.IsTrue)
-	c.Check(story.Cause, qt.Equals, CauseEndsServers)
+	c.Check(timeline.Cause, qt.Equals, CauseEndsServers)
 	var out strings.Builder
-	c.Assert(story.Print(&out), qt.IsNil)
+	c.Assert(timeline.Print(&out), qt.IsNil)
 	c.Check(out.String(), qt.Contains, "server i-1 ended while it had this request")
 	c.Check(out.String(), qt.Contains, "server i-2 ended while it had this request")
 	c.Check(out.String(), qt.Not(qt.Contains), "i-3")
-	c.Check(out.String(), qt.Contains, "is held back from now on")
+	c.Check(out.String(), qt.Contains, "requests with this content are held back from now on")
 }
 
 func TestCauses(t *testing.T) {
@@ -132,8 +133,8 @@
 		}
 		Summary(lines)
 		for _, l := range lines {
-			if story, found := BuildTimeline(lines, l.RequestID); found && len(story.Lines) == 0 {
-				t.Fatal("a story without lines")
+			if timeline, found := BuildTimeline(lines, l.RequestID); found && len(timeline.Lines) == 0 {
+				t.Fatal("timeline without lines")
 			}
 		}
 	})
