--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,6 +1,6 @@
-// Package eventlog makes the daemon's logger. Lines go to a writer through a
-// bounded queue: when the writer is slow or closed, lines are dropped and
-// counted, and no request waits.
+// Package eventlog provides the daemon's logger. Lines pass through a bounded
+// queue to a writer. If the writer is slow or closed, lines are dropped and
+// counted, so that logging never blocks a request.
 package eventlog
 
 import (
@@ -14,16 +14,17 @@
 )
 
 const (
-	// maxQueuedLines bounds the lines that wait for the writer: at 300 bytes a line
-	// about 1.2 MB.
+	// maxQueuedLines bounds the lines that wait for the writer. At 300 bytes per line
+	// they take about 1.2 MB.
 	maxQueuedLines = 4096
-	// maxFlushBytes is the most that is written at once.
+	// maxFlushBytes is the size at which no further lines are added to a write.
 	maxFlushBytes = 64 << 10
-	// closeTimeout is how long Close waits for a writer that does not take lines.
+	// closeTimeout is how long Close waits for a writer that blocks.
 	closeTimeout = 300 * time.Millisecond
 )
 
-// Writer passes lines on without ever blocking. It implements io.Writer.
+// Writer is an io.Writer that queues lines and never blocks. It is safe for
+// concurrent use.
 type Writer struct {
 	out       io.Writer
 	lines     chan []byte
@@ -33,14 +34,15 @@
 	quit      chan struct{}
 }
 
-// NewWriter returns a writer in front of out.
+// NewWriter returns a Writer that writes to out and starts its goroutine.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{}), quit: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write implements io.Writer. It takes one line.
+// Write implements io.Writer. Each call queues one line, or drops it if the queue
+// is full.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- bytes.Clone(line):
@@ -53,7 +55,8 @@
 // Dropped returns the number of lines dropped so far.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what waits, for a short time.
+// Close stops the writer. It waits up to closeTimeout for queued lines to be
+// written.
 func (w *Writer) Close() {
 	w.closeOnce.Do(func() { close(w.quit) })
 	select {
@@ -64,37 +67,39 @@
 
 func (w *Writer) run() {
 	defer close(w.done)
-	var told int64
+	var reported int64
 	for {
 		select {
 		case line := <-w.lines:
-			told = w.flush(line, told)
+			reported = w.flush(line, reported)
 		case <-w.quit:
 			for len(w.lines) > 0 {
-				told = w.flush(nil, told)
+				reported = w.flush(nil, reported)
 			}
-			w.flush(nil, told)
+			w.flush(nil, reported)
 			return
 		}
 	}
 }
 
-// flush writes a line and those that wait, and the number of dropped lines when
-// it is higher than the one told before. It returns the number told.
-func (w *Writer) flush(line []byte, told int64) int64 {
+// flush writes a line, the queued lines up to maxFlushBytes, and the number of
+// dropped lines if it exceeds the number reported before. It returns the current
+// number.
+func (w *Writer) flush(line []byte, reported int64) int64 {
 	var buffer bytes.Buffer
 	buffer.Write(line)
 	w.appendQueued(&buffer)
 	dropped := w.dropped.Load()
-	if dropped > told {
+	if dropped > reported {
 		buffer.WriteString(`{"level":"WARN","msg":"log lines dropped","total":` + strconv.FormatInt(dropped, 10) + "}\n")
 	}
-	// A writer that fails loses these lines; there is nowhere to say so.
+	// If the write fails, these lines are lost: the error cannot be logged.
 	_, _ = w.out.Write(buffer.Bytes())
 	return dropped
 }
 
-// appendQueued takes the lines that wait already.
+// appendQueued moves queued lines to the buffer without waiting, until it holds
+// maxFlushBytes.
 func (w *Writer) appendQueued(buffer *bytes.Buffer) {
 	for buffer.Len() < maxFlushBytes {
 		select {
@@ -106,7 +111,7 @@
 	}
 }
 
-// New returns a logger of JSON lines over the writer.
+// New returns a logger that writes JSON lines to w.
 func New(w io.Writer, level slog.Level) *slog.Logger {
 	return slog.New(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level}))
 }
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -12,7 +12,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// blockedWriter is a writer that takes nothing until it is let go.
+// blockedWriter is a writer that blocks until unblock is closed.
 type blockedWriter struct {
 	unblock chan struct{}
 	mu      sync.Mutex
@@ -26,8 +26,8 @@
 	return b.written.Write(p)
 }
 
-// TestBlockedOutputDelaysNobody: lines beyond the queue are dropped and counted,
-// and the count is told when the output takes lines again.
+// TestBlockedOutputDelaysNobody checks that lines beyond the queue are dropped and
+// counted, and that the count is written once the output accepts lines again.
 func TestBlockedOutputDelaysNobody(t *testing.T) {
 	c := qt.New(t)
 	out := &blockedWriter{unblock: make(chan struct{})}
@@ -44,8 +44,8 @@
 	c.Check(strings.Contains(out.written.String(), `"log lines dropped"`), qt.IsTrue)
 }
 
-// TestCloseWritesQueuedLines: lines that wait when the writer is closed, and the
-// count of those that were dropped, are written all the same.
+// TestCloseWritesQueuedLines checks that Close still writes the lines in the queue
+// and the number of dropped lines.
 func TestCloseWritesQueuedLines(t *testing.T) {
 	c := qt.New(t)
 	out := &blockedWriter{unblock: make(chan struct{})}
