--- a/internal/finding/finding.go
+++ b/internal/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding collects the mistakes found in operators' files, each with
-// its place, so that all of them can be reported together.
+// Package finding collects the mistakes found in operators' files with their
+// positions, so that all of them can be reported together.
 package finding
 
 import (
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Place is a position in an operator's file. Line and Column count from one;
-// zero means that the position is not known.
+// Place is a position in an operator's file. Line and Column start at one. Zero
+// means that the position is not known.
 type Place struct {
 	File   string `json:"file"`
 	Line   int    `json:"line"`
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column)
 }
 
-// Finding is one mistake at one place.
+// Finding is one mistake and its position.
 type Finding struct {
 	Place   Place  `json:"place"`
 	Message string `json:"message"`
@@ -32,7 +32,7 @@
 	return f.Place.String() + ": " + f.Message
 }
 
-// List is a growing list of findings. The zero value is ready to use.
+// List collects findings. The zero value is ready to use.
 type List struct {
 	items []Finding
 }
@@ -42,10 +42,10 @@
 	l.items = append(l.items, Finding{Place: place, Message: fmt.Sprintf(format, args...)})
 }
 
-// Empty reports whether nothing was found.
+// Empty reports whether the list has no findings.
 func (l *List) Empty() bool { return len(l.items) == 0 }
 
-// All returns the findings ordered by file, line and column.
+// All returns the findings sorted by file, line and column.
 func (l *List) All() []Finding {
 	sorted := slices.Clone(l.items)
 	slices.SortStableFunc(sorted, func(a, b Finding) int {
@@ -69,12 +69,12 @@
 	return &Error{Findings: l.All()}
 }
 
-// Error is the error form of a non-empty list.
+// Error is the error that List.Err returns for a non-empty list.
 type Error struct {
 	Findings []Finding
 }
 
-// Error lists every finding on a line of its own.
+// Error formats the findings with one line each.
 func (e *Error) Error() string {
 	lines := make([]string, len(e.Findings))
 	for i, f := range e.Findings {
--- a/internal/strictyaml/strictyaml.go
+++ b/internal/strictyaml/strictyaml.go
@@ -1,7 +1,7 @@
 // Package strictyaml decodes YAML into structs and reports every unknown,
-// duplicate, missing and mistyped field of a document in one pass. The YAML
-// library stops at the first such error, so the walk over its syntax tree is
-// done here.
+// duplicate, missing and mistyped field of a document in one pass. The decoder of
+// the YAML library stops at the first such error, so this package walks the
+// library's syntax tree itself.
 package strictyaml
 
 import (
@@ -19,12 +19,12 @@
 	"github.com/plankridge/plankridge/internal/finding"
 )
 
-// requiredOption marks a field that has to be present, as in
+// requiredOption is the tag option of a required field, as in
 // `yaml:"name,required"`.
 const requiredOption = "required"
 
-// Source remembers where each field of a decoded document stands. Paths have
-// the form "services[0].runners[1].zone".
+// Source holds the position of each field of a decoded document. Paths have the
+// form "services[0].runners[1].zone".
 type Source struct {
 	file   string
 	places map[string]finding.Place
@@ -45,23 +45,23 @@
 	}
 }
 
-// Decode parses data and fills out, a pointer to a struct. Mistakes are added
-// to found; what could be decoded is decoded all the same.
-func Decode(file string, data []byte, out any, found *finding.List) *Source {
+// Decode parses data into out, a pointer to a struct. Mistakes are added to
+// findings. Valid fields are decoded even if others have mistakes.
+func Decode(file string, data []byte, out any, findings *finding.List) *Source {
 	d := &decoder{
 		source:   &Source{file: file, places: map[string]finding.Place{}},
-		findings: found,
+		findings: findings,
 	}
 	parsed, err := parser.ParseBytes(data, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
-		found.Addf(syntaxPlace(file, err), "%s", syntaxMessage(err))
+		findings.Addf(syntaxPlace(file, err), "%s", syntaxMessage(err))
 		return d.source
 	}
 	if len(parsed.Docs) > 1 {
-		found.Addf(d.placeAt(parsed.Docs[1].Start.Position.Line, 1), "more than one YAML document in a file")
+		findings.Addf(d.placeAt(parsed.Docs[1].Start.Position.Line, 1), "more than one YAML document in a file")
 	}
 	if len(parsed.Docs) == 0 || parsed.Docs[0].Body == nil {
-		found.Addf(d.placeAt(1, 1), "file is empty")
+		findings.Addf(d.placeAt(1, 1), "file is empty")
 		return d.source
 	}
 	d.decodeValue(parsed.Docs[0].Body, reflect.ValueOf(out).Elem(), "")
@@ -98,8 +98,8 @@
 	return finding.Place{File: d.source.file, Line: line, Column: column}
 }
 
-// nodePlace returns where a node begins. A mapping begins at its first key; its
-// own token is the first colon.
+// nodePlace returns the position at which a node begins. A mapping begins at its
+// first key, but its own token is the first colon.
 func (d *decoder) nodePlace(node ast.Node) finding.Place {
 	if pairs, ok := mappingPairs(node); ok && len(pairs) > 0 {
 		node = pairs[0].Key
@@ -138,7 +138,7 @@
 	}
 }
 
-// unwrap returns the node behind an anchor or a tag.
+// unwrap returns the value node of an anchor or tag node.
 func unwrap(node ast.Node) ast.Node {
 	for {
 		switch n := node.(type) {
@@ -234,7 +234,8 @@
 	return table
 }
 
-// suggestion names the known field that differs from name by one edit.
+// suggestion returns a hint with the known field that differs from name by one
+// edit, or the empty string.
 func suggestion(name string, known []string) string {
 	for _, candidate := range known {
 		if oneEditApart(name, candidate) {
@@ -296,7 +297,7 @@
 	}
 }
 
-var errScalarKind = errors.New("value has another type")
+var errScalarKind = errors.New("value has the wrong type")
 
 func setScalar(node ast.ScalarNode, out reflect.Value) error {
 	text := node.GetToken().Value
