--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -140,19 +140,19 @@
 
 // poll makes one list or watch call and passes the result to the consumer.
 func (f *Follower) poll(ctx context.Context) error {
-	waiting, cancel := f.newWatchContext(ctx)
+	watchCtx, cancel := f.newWatchContext(ctx)
 	defer cancel()
 	if f.next == 0 {
 		return f.list(ctx)
 	}
-	changes, err := f.store.Watch(waiting, f.kind, f.next, f.options.WatchTimeout())
+	changes, err := f.store.Watch(watchCtx, f.kind, f.next, f.options.WatchTimeout())
 	switch {
 	case errors.Is(err, ErrCompacted):
 		f.logger.Info("watch history was compacted, listing again", "kind", f.kind, "revision", f.next)
 		f.next = 0
 		f.options.OnCompacted()
 		return nil
-	case err != nil && waiting.Err() != nil:
+	case err != nil && watchCtx.Err() != nil:
 		return errRefreshed
 	case err != nil:
 		// A list also shows objects that expired meanwhile.
@@ -188,7 +188,7 @@
 }
 
 func (f *Follower) list(ctx context.Context) error {
-	begun := time.Now()
+	start := time.Now()
 	page, err := f.store.List(ctx, f.kind)
 	if err != nil {
 		return err
@@ -197,7 +197,7 @@
 		f.logger.Warn("list objects cannot be decoded", "kind", f.kind, "objects", page.SkippedObjects, "revision", page.Revision)
 	}
 	f.consumer.Replace(page, f.failed)
-	f.next, f.asOf = page.Revision, begun
+	f.next, f.asOf = page.Revision, start
 	return nil
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -19,7 +19,8 @@
 	// ErrCompacted means that the store no longer has the history from the revision of a
 	// watch on.
 	ErrCompacted = errors.New("watch history was compacted")
-	// ErrRefused means that the store rejected the call and changed nothing.
+	// ErrRefused means that the call had no effect: it was not sent, or the store
+	// rejected it.
 	ErrRefused = errors.New("store refused the call")
 	// ErrOutcomeUnknown means that a call got no answer. It may have taken effect or
 	// may still do so later.
--- a/internal/store/values.go
+++ b/internal/store/values.go
@@ -124,13 +124,13 @@
 // Watch implements Values. A watch of the store covers the whole kind, so changes
 // of other keys are ignored.
 func (v *KindValues) Watch(ctx context.Context, key string, after int64, wait time.Duration) (Value, error) {
-	end := time.Now().Add(wait)
+	deadline := time.Now().Add(wait)
 	value, next, err := v.currentValue(ctx, key, after)
 	if err != nil || value.Version > after {
 		return value, err
 	}
-	for left := time.Until(end); left >= time.Millisecond; left = time.Until(end) {
-		changes, err := v.store.Watch(ctx, v.kind, next, left)
+	for remaining := time.Until(deadline); remaining >= time.Millisecond; remaining = time.Until(deadline) {
+		changes, err := v.store.Watch(ctx, v.kind, next, remaining)
 		if errors.Is(err, ErrCompacted) {
 			return v.Get(ctx, key)
 		}
