--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -15,8 +15,8 @@
 	services map[string]*Service
 }
 
-func (m *mergedDeployment) check(found *finding.List) {
-	c := &checker{findings: found, zones: map[string]bool{}, classes: map[string]*VMClass{}, services: map[string]*Service{}}
+func (m *mergedDeployment) check(findings *finding.List) {
+	c := &checker{findings: findings, zones: map[string]bool{}, classes: map[string]*VMClass{}, services: map[string]*Service{}}
 	for _, zone := range zip(m.deployment.Zones, m.zonePlaces) {
 		c.checkName(c.zones[zone.item.Name], "availability zone", zone.item.Name, zone.place)
 		c.zones[zone.item.Name] = true
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -122,8 +122,8 @@
 // as the file name in findings.
 func ParseRouterSettings(name string, raw []byte) (RouterSettings, error) {
 	var settings RouterSettings
-	var found finding.List
-	source := strictyaml.Decode(name, raw, &settings, &found)
+	var findings finding.List
+	source := strictyaml.Decode(name, raw, &settings, &findings)
 	durations := map[string]Duration{
 		"bounds.drain": settings.Bounds.DrainTimeout,
 		"bounds.lease": settings.Bounds.Lease,
@@ -136,27 +136,27 @@
 	}
 	for path, d := range durations {
 		if d <= 0 {
-			found.Addf(source.Place(path), "%s: must be greater than zero", path)
+			findings.Addf(source.Place(path), "%s: must be greater than zero", path)
 		}
 	}
 	if settings.Bounds.LeavingLimit < 0 {
-		found.Addf(source.Place("bounds.leaving"), "bounds.leaving: must not be negative")
+		findings.Addf(source.Place("bounds.leaving"), "bounds.leaving: must not be negative")
 	}
-	settings.checkAddresses(source, &found)
+	settings.checkAddresses(source, &findings)
 	if settings.Bounds.RetryRatio < 0 || settings.Bounds.RetryExtra < 0 {
-		found.Addf(source.Place("bounds.retry_ratio"), "bounds.retry_ratio and bounds.retry_extra: must not be negative")
+		findings.Addf(source.Place("bounds.retry_ratio"), "bounds.retry_ratio and bounds.retry_extra: must not be negative")
 	}
 	if share := settings.Bounds.RollOutShare; share < 0 || share > 1 || settings.Bounds.RollOutSlack < 0 {
-		found.Addf(source.Place("bounds.rollout_share"), "bounds.rollout_share and bounds.rollout_slack: a share of at most one and a number that is not negative")
+		findings.Addf(source.Place("bounds.rollout_share"), "bounds.rollout_share must lie between 0 and 1, and bounds.rollout_slack must not be negative")
 	}
 	if settings.Bounds.RollOutShare > 0 && settings.Bounds.RollOutStop <= 0 {
-		found.Addf(source.Place("bounds.rollout_stop"), "bounds.rollout_stop: must be greater than zero where bounds.rollout_share is")
+		findings.Addf(source.Place("bounds.rollout_stop"), "bounds.rollout_stop: must be greater than zero if bounds.rollout_share is set")
 	}
-	return settings, found.Err()
+	return settings, findings.Err()
 }
 
 // checkAddresses reports addresses that are not of the form IP:port.
-func (s *RouterSettings) checkAddresses(source *strictyaml.Source, found *finding.List) {
+func (s *RouterSettings) checkAddresses(source *strictyaml.Source, findings *finding.List) {
 	addresses := map[string]string{
 		"listen.callers": s.Listen.Callers, "listen.readiness": s.Listen.Readiness, "listen.peers": s.Listen.Peers,
 		"listen.metrics": s.Listen.Metrics, "store.address": s.Store.Address, "cloud.address": s.Cloud.Address,
@@ -166,7 +166,7 @@
 	}
 	for path, address := range addresses {
 		if _, err := netip.ParseAddrPort(address); address != "" && err != nil {
-			found.Addf(source.Place(path), "%s: %q is not of the form IP:port", path, address)
+			findings.Addf(source.Place(path), "%s: %q is not of the form IP:port", path, address)
 		}
 	}
 }
@@ -191,8 +191,8 @@
 	var head struct {
 		Kind string `yaml:"kind"`
 	}
-	var found finding.List
-	strictyaml.Decode("", raw, &head, &found)
+	var findings finding.List
+	strictyaml.Decode("", raw, &head, &findings)
 	return head.Kind == string(RouterKind)
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -134,18 +134,18 @@
 // file name in findings.
 func ParseSettings(name string, raw []byte) (Settings, error) {
 	settings := DefaultSettings()
-	var found finding.List
-	source := strictyaml.Decode(name, raw, &settings, &found)
-	settings.check(source, &found)
-	return settings, found.Err()
+	var findings finding.List
+	source := strictyaml.Decode(name, raw, &settings, &findings)
+	settings.check(source, &findings)
+	return settings, findings.Err()
 }
 
-func (s *Settings) check(source *strictyaml.Source, found *finding.List) {
+func (s *Settings) check(source *strictyaml.Source, findings *finding.List) {
 	if s.Peers.Plaintext && s.Peers.TLS != nil {
-		found.Addf(source.Place("peers.plaintext"), "peers: plaintext and tls contradict each other")
+		findings.Addf(source.Place("peers.plaintext"), "peers: plaintext and tls contradict each other")
 	}
 	if !s.Peers.Plaintext && s.Peers.TLS == nil {
-		found.Addf(source.Place("peers"), "peers: set tls, or plaintext: true to do without it")
+		findings.Addf(source.Place("peers"), "peers: set tls, or plaintext: true to do without it")
 	}
 	secrets := []struct {
 		path   string
@@ -153,7 +153,7 @@
 	}{{"platform.token", s.Platform.Token}, {"operators.token", s.Operators.Token}}
 	for _, item := range secrets {
 		if item.secret.File != "" && item.secret.Env != "" {
-			found.Addf(source.Place(item.path), "%s: file and env contradict each other", item.path)
+			findings.Addf(source.Place(item.path), "%s: file and env contradict each other", item.path)
 		}
 	}
 	sizes := map[string]int{
@@ -165,7 +165,7 @@
 	}
 	for path, size := range sizes {
 		if size <= 0 {
-			found.Addf(source.Place(path), "%s: must be greater than zero", path)
+			findings.Addf(source.Place(path), "%s: must be greater than zero", path)
 		}
 	}
 }
