--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -140,8 +140,8 @@
 		}
 	}
 	counts := map[Cause]int{}
-	for _, own := range byRequest {
-		if cause := causeOf(own); cause != CauseServed {
+	for _, requestLines := range byRequest {
+		if cause := causeOf(requestLines); cause != CauseServed {
 			counts[cause]++
 		}
 	}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -65,7 +65,7 @@
 	Status    int       `json:"status"`
 	Reason    string    `json:"reason"`
 	// Content identifies the content of a request and is equal for requests with the same
-	// content. Contents holds the contents of several requests, separated by blanks.
+	// content. Contents holds the contents of several requests, separated by spaces.
 	Content       string    `json:"content"`
 	Contents      string    `json:"contents"`
 	TookMS        int64     `json:"took_ms"`
@@ -84,7 +84,7 @@
 	RequestsPerSecond float64 `json:"requests_per_second"`
 	RestMS            int64   `json:"rest_ms"`
 	// ReadyIDs, DrainingIDs and GoneIDs are the IDs of the servers in a line about several
-	// servers, separated by blanks.
+	// servers, separated by spaces.
 	ReadyIDs    string `json:"ids_ready"`
 	DrainingIDs string `json:"ids_draining"`
 	GoneIDs     string `json:"ids_gone"`
@@ -171,19 +171,19 @@
 
 // contextLines returns the lines that describe the state known to the daemon at a
 // request's end: for each topic the last line of the same daemon up to then.
-func contextLines(lines []Line, of Line) []Line {
+func contextLines(lines []Line, end Line) []Line {
 	last := map[string]Line{}
 	keep := func(topic string, l Line) {
 		if before, known := last[topic]; !known || l.Time.After(before.Time) {
 			last[topic] = l
 		}
 	}
-	tried := map[string]bool{}
-	for _, a := range of.Attempts {
-		tried[a.Server] = true
+	triedServers := map[string]bool{}
+	for _, a := range end.Attempts {
+		triedServers[a.Server] = true
 	}
 	for _, l := range lines {
-		if l.VM != of.VM || l.Time.After(of.Time) {
+		if l.VM != end.VM || l.Time.After(end.Time) {
 			continue
 		}
 		switch l.Message {
@@ -192,19 +192,19 @@
 		case msgStoreLost, msgStoreBack:
 			keep("store", l)
 		case msgHeldBack:
-			if l.Content == of.Content && of.Content != "" {
+			if l.Content == end.Content && end.Content != "" {
 				keep(l.Message, l)
 			}
 		case msgServerEnded:
-			if slices.Contains(strings.Fields(l.Contents), of.Content) {
+			if slices.Contains(strings.Fields(l.Contents), end.Content) {
 				keep("end of "+l.Server, l)
 			}
 		case msgServerListed, msgServerGone, msgServerRestarted:
-			if tried[l.Server] {
+			if triedServers[l.Server] {
 				keep("server "+l.Server, l)
 			}
 		case msgServerLimit, msgServerRest, msgServerLeaving:
-			if tried[l.Server] || (of.Reason == reasonAtLimits && l.Service == of.Service) {
+			if triedServers[l.Server] || (end.Reason == reasonAtLimits && l.Service == end.Service) {
 				keep(l.Message+l.Server, l)
 			}
 		}
