--- a/internal/strictyaml/strictyaml.go
+++ b/internal/strictyaml/strictyaml.go
@@ -342,5 +342,5 @@
 	case reflect.Float64:
 		return "a number"
 	}
-	return "a text"
+	return "a string"
 }
