--- a/internal/store/follow_test.go
+++ b/internal/store/follow_test.go
@@ -11,7 +11,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// busyStore returns a change for each watch at once.
+// busyStore answers each watch immediately with one change.
 type busyStore struct {
 	Store
 	watched []time.Time
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -16,14 +16,14 @@
 	ErrNotFound = errors.New("object not found")
 	// ErrConflict means that the object is at another revision, or already exists.
 	ErrConflict = errors.New("object was changed by another writer")
-	// ErrCompacted means that the store no longer has the history from the revision of a
-	// watch on.
+	// ErrCompacted means that the store no longer has the history since the revision
+	// from which a watch starts.
 	ErrCompacted = errors.New("watch history was compacted")
 	// ErrRefused means that the call had no effect: it was not sent, or the store
 	// rejected it.
 	ErrRefused = errors.New("store refused the call")
-	// ErrOutcomeUnknown means that a call got no answer. It may have taken effect or
-	// may still do so later.
+	// ErrOutcomeUnknown means that a call got no usable answer. It may have taken
+	// effect or may still do so later.
 	ErrOutcomeUnknown = errors.New("store gave no answer")
 )
 
