--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -112,7 +112,7 @@
 
 // overloadOrSize distinguishes a refusal because of the queue from one because of the
 // request's own size, by which of them makes up most of the predicted time. Lines of
-// earlier versions lack these times and count as overload.
+// earlier versions lack IdleMS and count as overload.
 func overloadOrSize(attempts []Attempt) Cause {
 	if len(attempts) == 0 {
 		return CauseOverload
