--- a/capacity/control_test.go
+++ b/capacity/control_test.go
@@ -73,11 +73,11 @@
 	c.Assert(err, qt.IsNil)
 	plane := &dev.Memory{Net: memnet.New()}
 	d, err := dev.Start(context.Background(), dev.Options{
-		Example: "ndiaye", Logger: slog.New(slog.DiscardHandler), ListLag: time.Second, Plane: plane,
+		Example: "ndiaye", Logger: slog.New(slog.DiscardHandler), ListLag: time.Second, Hosts: plane,
 	})
 	c.Assert(err, qt.IsNil)
 	for i := range servers {
-		d.Cloud.Fleet.Add(vmlist.VM{
+		d.StandIns.Fleet.Add(vmlist.VM{
 			ID: fmt.Sprintf("runner-%04d", i), Zone: fmt.Sprintf("zone-%d", i%7), Role: vmlist.RoleBackend,
 			Service: "modele-devis", Class: "accel-4", Market: "reclaimable", Address: fmt.Sprintf("10.9.%d.%d:8000", i/250, i%250),
 		}, nil)
@@ -100,8 +100,8 @@
 	var usage syscall.Rusage
 	f.Assert(syscall.Getrusage(syscall.RUSAGE_SELF, &usage), qt.IsNil)
 	m.cpu = time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
-	m.reads = f.d.Cloud.Store.Calls().Reads.Load()
-	m.writes = f.d.Cloud.Store.Calls().Writes.Load()
+	m.reads = f.d.StandIns.Store.Calls().Reads.Load()
+	m.writes = f.d.StandIns.Store.Calls().Writes.Load()
 	return m
 }
 
@@ -161,7 +161,7 @@
 // moveMany reclaims servers over a window.
 func (f *fleet) moveMany() {
 	for i := range changes {
-		f.d.Cloud.Fleet.Kill(fmt.Sprintf("runner-%04d", i))
+		f.d.StandIns.Fleet.Kill(fmt.Sprintf("runner-%04d", i))
 		time.Sleep(window / changes)
 	}
 }
--- a/capacity/cost_test.go
+++ b/capacity/cost_test.go
@@ -148,7 +148,7 @@
 func startLoopback(b *testing.B) *dev.Deployment {
 	c := qt.New(b)
 	d, err := dev.Start(context.Background(), dev.Options{
-		Example: "ndiaye", Logger: slog.New(slog.DiscardHandler), Plane: dev.Loopback{}, Instant: true,
+		Example: "ndiaye", Logger: slog.New(slog.DiscardHandler), Hosts: dev.Loopback{}, Instant: true,
 	})
 	c.Assert(err, qt.IsNil)
 	b.Cleanup(d.Stop)
@@ -158,7 +158,7 @@
 
 // member returns the address of a server of a service.
 func member(b *testing.B, d *dev.Deployment, service string) string {
-	for _, vm := range d.Cloud.Fleet.Members() {
+	for _, vm := range d.StandIns.Fleet.Members() {
 		if vm.Service == service {
 			return vm.Address
 		}
--- a/internal/callerapi/answer.go
+++ b/internal/callerapi/answer.go
@@ -15,9 +15,9 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// find returns a request of the caller's workspace, here or at a peer. One of
+// findRequest returns a request of the caller's workspace, here or at a peer. One of
 // another workspace looks like one that does not exist.
-func (a *API) find(c echo.Context) (dispatch.Source, dispatch.Status, error) {
+func (a *API) findRequest(c echo.Context) (dispatch.Source, dispatch.Status, error) {
 	call, err := a.authenticate(c)
 	if err != nil {
 		return nil, dispatch.Status{}, err
@@ -28,11 +28,11 @@
 		return nil, dispatch.Status{}, newProblem(http.StatusNotFound, request.OutcomeUnknown, "no daemon holds this request").Err()
 	}
 	if err != nil {
-		return nil, dispatch.Status{}, unreachable().Err()
+		return nil, dispatch.Status{}, unreachableProblem().Err()
 	}
 	status, err := source.Status(c.Request().Context())
 	if err != nil {
-		return nil, dispatch.Status{}, unreachable().Err()
+		return nil, dispatch.Status{}, unreachableProblem().Err()
 	}
 	if status.Spec.Workspace != call.workspace.Name {
 		return nil, dispatch.Status{}, newProblem(http.StatusNotFound, request.OutcomeUnknown, "no daemon holds this request").Err()
@@ -41,7 +41,7 @@
 	return source, status, nil
 }
 
-func unreachable() *problem {
+func unreachableProblem() *problem {
 	p := newProblem(http.StatusServiceUnavailable, request.OutcomeUnknown, "the daemon that holds this request cannot be reached")
 	p.retryAfter = time.Second
 	return p
@@ -69,7 +69,7 @@
 }
 
 func (a *API) state(c echo.Context) error {
-	_, status, err := a.find(c)
+	_, status, err := a.findRequest(c)
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 }
 
 func (a *API) response(c echo.Context) error {
-	source, status, err := a.find(c)
+	source, status, err := a.findRequest(c)
 	if err != nil {
 		return err
 	}
@@ -120,11 +120,11 @@
 	case spec.Stream:
 		return a.answerStream(c, source, spec, after)
 	}
-	return a.answerWhole(c, source, spec)
+	return a.answerJSON(c, source, spec)
 }
 
-// collect reads an answer to its end. The error is the problem to answer with.
-func collect(ctx context.Context, source dispatch.Source, spec *request.Spec) (string, dispatch.Event, error) {
+// readAnswer reads an answer to its end. The error is the problem to answer with.
+func readAnswer(ctx context.Context, source dispatch.Source, spec *request.Spec) (string, dispatch.Event, error) {
 	var text strings.Builder
 	var last dispatch.Event
 	err := source.Follow(ctx, 0, func(event dispatch.Event) error {
@@ -136,18 +136,18 @@
 	case err != nil:
 		err = readError(spec, err)
 	case last.Failure != nil:
-		err = fromFailure(spec.ID, last.Failure).Err()
+		err = failureProblem(spec.ID, last.Failure).Err()
 	}
 	return text.String(), last, err
 }
 
 func (a *API) answerPlain(c echo.Context, source dispatch.Source, spec *request.Spec) error {
-	_, last, err := collect(c.Request().Context(), source, spec)
+	_, last, err := readAnswer(c.Request().Context(), source, spec)
 	if err != nil {
 		return err
 	}
 	if last.Moved {
-		return seeOther(c, spec.ID)
+		return writeSeeOther(c, spec.ID)
 	}
 	return writePlain(c, last.Plain)
 }
@@ -155,7 +155,7 @@
 // writePlain sends the answer of a plain service.
 func writePlain(c echo.Context, answer *request.PlainAnswer) error {
 	header := c.Response().Header()
-	for name, values := range endToEnd(answer.Header) {
+	for name, values := range endToEndHeaders(answer.Header) {
 		header[name] = values
 	}
 	c.Response().WriteHeader(answer.Status)
@@ -163,9 +163,9 @@
 	return err
 }
 
-// seeOther sends a waiting caller to the place of its answer, where any daemon
+// writeSeeOther sends a waiting caller to the place of its answer, where any daemon
 // serves it.
-func seeOther(c echo.Context, id request.ID) error {
+func writeSeeOther(c echo.Context, id request.ID) error {
 	c.Response().Header().Set("Location", responsePath(id))
 	return c.NoContent(http.StatusSeeOther)
 }
@@ -180,13 +180,13 @@
 	if errors.Is(err, context.Canceled) {
 		return err
 	}
-	p := unreachable()
+	p := unreachableProblem()
 	p.RequestID = spec.ID
 	return p.Err()
 }
 
-// extendWrite allows the next write its time.
-func (a *API) extendWrite(c echo.Context) {
+// extendWriteDeadline allows the next write its time.
+func (a *API) extendWriteDeadline(c echo.Context) {
 	deadline := time.Now().Add(a.options.Limits.WriteTimeout.Std())
 	_ = http.NewResponseController(c.Response().Writer).SetWriteDeadline(deadline)
 }
@@ -223,7 +223,7 @@
 	}
 )
 
-func usageOf(finish *request.Finish) *usage {
+func newUsage(finish *request.Finish) *usage {
 	return &usage{
 		PromptTokens:     finish.PromptTokens,
 		CompletionTokens: finish.OutputTokens,
@@ -232,8 +232,8 @@
 	}
 }
 
-// object names the wire object of a request's answer.
-func object(spec *request.Spec) string {
+// objectName names the wire object of a request's answer.
+func objectName(spec *request.Spec) string {
 	switch {
 	case spec.Kind == request.KindCompletion:
 		return "text_completion"
@@ -246,20 +246,20 @@
 func newCompletion(spec *request.Spec, choices ...choice) *completion {
 	return &completion{
 		ID:      string(spec.ID),
-		Object:  object(spec),
-		Created: created(spec.Accepted),
+		Object:  objectName(spec),
+		Created: createdUnix(spec.Accepted),
 		Model:   spec.Model.Name,
 		Choices: choices,
 	}
 }
 
-func (a *API) answerWhole(c echo.Context, source dispatch.Source, spec *request.Spec) error {
-	text, last, err := collect(c.Request().Context(), source, spec)
+func (a *API) answerJSON(c echo.Context, source dispatch.Source, spec *request.Spec) error {
+	text, last, err := readAnswer(c.Request().Context(), source, spec)
 	if err != nil {
 		return err
 	}
 	if last.Moved {
-		return seeOther(c, spec.ID)
+		return writeSeeOther(c, spec.ID)
 	}
 	only := choice{FinishReason: &last.Finish.Reason}
 	if spec.Kind == request.KindChat {
@@ -268,7 +268,7 @@
 		only.Text = &text
 	}
 	body := newCompletion(spec, only)
-	body.Usage = usageOf(last.Finish)
+	body.Usage = newUsage(last.Finish)
 	return c.JSON(http.StatusOK, body)
 }
 
@@ -283,33 +283,33 @@
 		return nil
 	}
 	c.Response().Flush()
-	stream := &eventStream{api: a, c: c, spec: spec, first: after == 0}
-	err := source.Follow(c.Request().Context(), after, stream.event)
+	stream := &eventStream{api: a, c: c, spec: spec, rolePending: after == 0}
+	err := source.Follow(c.Request().Context(), after, stream.writeEvent)
 	if err != nil && c.Request().Context().Err() == nil {
-		stream.problem(unreachable())
+		stream.writeProblem(unreachableProblem())
 	}
 	return nil
 }
 
 // eventStream writes the events of one answer.
 type eventStream struct {
-	api   *API
-	c     echo.Context
-	spec  *request.Spec
-	first bool
+	api         *API
+	c           echo.Context
+	spec        *request.Spec
+	rolePending bool
 }
 
-func (s *eventStream) event(event dispatch.Event) error {
+func (s *eventStream) writeEvent(event dispatch.Event) error {
 	switch {
 	case event.Moved:
-		return s.moved(event.Offset)
+		return s.writeMoved(event.Offset)
 	case event.Failure != nil:
-		s.problem(fromFailure(s.spec.ID, event.Failure))
+		s.writeProblem(failureProblem(s.spec.ID, event.Failure))
 		return nil
 	case event.Finish != nil:
-		return s.finish(event)
+		return s.writeFinish(event)
 	}
-	return s.send(event.Offset, newCompletion(s.spec, s.delta(event.Token, nil)))
+	return s.writeData(event.Offset, newCompletion(s.spec, s.delta(event.Token, nil)))
 }
 
 func (s *eventStream) delta(text string, finish *string) choice {
@@ -317,60 +317,60 @@
 		return choice{Text: &text, FinishReason: finish}
 	}
 	delta := &chatMessage{Content: text}
-	if s.first {
+	if s.rolePending {
 		delta.Role = "assistant"
-		s.first = false
+		s.rolePending = false
 	}
 	return choice{Delta: delta, FinishReason: finish}
 }
 
-func (s *eventStream) finish(event dispatch.Event) error {
-	if err := s.send(event.Offset, newCompletion(s.spec, s.delta("", &event.Finish.Reason))); err != nil {
+func (s *eventStream) writeFinish(event dispatch.Event) error {
+	if err := s.writeData(event.Offset, newCompletion(s.spec, s.delta("", &event.Finish.Reason))); err != nil {
 		return err
 	}
 	if s.spec.Model.IncludeUsage {
 		chunk := newCompletion(s.spec)
 		chunk.Choices = []choice{}
-		chunk.Usage = usageOf(event.Finish)
-		if err := s.send(event.Offset, chunk); err != nil {
+		chunk.Usage = newUsage(event.Finish)
+		if err := s.writeData(event.Offset, chunk); err != nil {
 			return err
 		}
 	}
 	return s.write("data: [DONE]\n\n")
 }
 
-// moved ends a stream that goes on at the place of its answer. The caller
+// writeMoved ends a stream that goes on at the place of its answer. The caller
 // reconnects there with the ID of the last event.
-func (s *eventStream) moved(offset int) error {
+func (s *eventStream) writeMoved(offset int) error {
 	raw, err := json.Marshal(map[string]string{"location": responsePath(s.spec.ID)})
 	if err != nil {
 		return err
 	}
-	return s.write("event: moved\nid: " + s.position(offset) + "\ndata: " + string(raw) + "\n\n")
+	return s.write("event: moved\nid: " + s.eventID(offset) + "\ndata: " + string(raw) + "\n\n")
 }
 
-// problem ends a stream without its last event.
-func (s *eventStream) problem(p *problem) {
+// writeProblem ends a stream without its last event.
+func (s *eventStream) writeProblem(p *problem) {
 	raw, err := json.Marshal(p)
 	if err == nil {
 		_ = s.write("event: error\ndata: " + string(raw) + "\n\n")
 	}
 }
 
-func (s *eventStream) send(offset int, value any) error {
+func (s *eventStream) writeData(offset int, value any) error {
 	raw, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
-	return s.write("id: " + s.position(offset) + "\ndata: " + string(raw) + "\n\n")
+	return s.write("id: " + s.eventID(offset) + "\ndata: " + string(raw) + "\n\n")
 }
 
-func (s *eventStream) position(offset int) string {
+func (s *eventStream) eventID(offset int) string {
 	return request.Position{Run: s.spec.Run, Offset: offset}.String()
 }
 
 func (s *eventStream) write(text string) error {
-	s.api.extendWrite(s.c)
+	s.api.extendWriteDeadline(s.c)
 	if _, err := s.c.Response().Write([]byte(text)); err != nil {
 		return err
 	}
--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -29,8 +29,8 @@
 	Locate(ctx context.Context, id request.ID) (dispatch.Source, error)
 }
 
-// Keyer runs requests that carry an idempotency key.
-type Keyer interface {
+// KeyedSubmitter runs requests that carry an idempotency key.
+type KeyedSubmitter interface {
 	// Submit returns an error when the request may have been accepted.
 	Submit(ctx context.Context, spec request.Spec) (keys.Result, error)
 }
@@ -41,7 +41,7 @@
 	Dispatcher *dispatch.Dispatcher
 	Follower   *generation.Follower
 	Locator    Locator
-	Keys       Keyer
+	Keys       KeyedSubmitter
 	Logger     *slog.Logger
 	Registerer prometheus.Registerer
 	// Ready reports whether the daemon can serve.
@@ -68,7 +68,7 @@
 	options.Registerer.MustRegister(a.refusals)
 	a.echo.HideBanner = true
 	a.echo.HTTPErrorHandler = a.handleError
-	a.echo.Use(a.deadlines, a.closeWhileDraining, middleware.BodyLimit(bodyLimit(options.Limits.BodyBytes)))
+	a.echo.Use(a.setWriteDeadline, a.closeWhileDraining, middleware.BodyLimit(bodyLimit(options.Limits.BodyBytes)))
 	a.routes()
 	return a
 }
@@ -99,10 +99,10 @@
 	return c.String(http.StatusOK, "ready\n")
 }
 
-// deadlines allows an answer its time when it begins to be written.
-func (a *API) deadlines(next echo.HandlerFunc) echo.HandlerFunc {
+// setWriteDeadline allows an answer its time when it begins to be written.
+func (a *API) setWriteDeadline(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		c.Response().Before(func() { a.extendWrite(c) })
+		c.Response().Before(func() { a.extendWriteDeadline(c) })
 		return next(c)
 	}
 }
@@ -141,38 +141,38 @@
 	}
 }
 
-// call is what every authenticated call needs.
-type call struct {
+// authenticatedCall is what every authenticated call needs.
+type authenticatedCall struct {
 	index     *config.Index
 	workspace *config.Workspace
 }
 
 // authenticate finds the workspace of the bearer key.
-func (a *API) authenticate(c echo.Context) (call, error) {
+func (a *API) authenticate(c echo.Context) (authenticatedCall, error) {
 	index := a.options.Follower.Index()
 	if index == nil {
 		p := refuse(http.StatusServiceUnavailable, "daemon has no deployment yet")
-		if c.Request().Header.Get(headerKey) != "" {
+		if c.Request().Header.Get(headerIdempotencyKey) != "" {
 			// An earlier request with the key may have run.
 			p = newProblem(p.Status, request.OutcomeUnknown, p.Detail)
 		}
 		p.retryAfter = time.Second
-		return call{}, p.Err()
+		return authenticatedCall{}, p.Err()
 	}
 	key, ok := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
-		return call{}, refuse(http.StatusUnauthorized, "send the workspace's key as a bearer token").Err()
+		return authenticatedCall{}, refuse(http.StatusUnauthorized, "send the workspace's key as a bearer token").Err()
 	}
 	workspace := index.WorkspaceByKey(key)
 	if workspace == nil {
-		return call{}, refuse(http.StatusUnauthorized, "key belongs to no workspace").Err()
+		return authenticatedCall{}, refuse(http.StatusUnauthorized, "key belongs to no workspace").Err()
 	}
-	return call{index: index, workspace: workspace}, nil
+	return authenticatedCall{index: index, workspace: workspace}, nil
 }
 
 // service returns a service that the workspace may call. One that it may not
 // call looks like one that does not exist.
-func (k *call) service(name string, kind config.ServiceKind) (*config.Service, error) {
+func (k *authenticatedCall) service(name string, kind config.ServiceKind) (*config.Service, error) {
 	service := k.index.Service(name)
 	if service == nil || service.Kind != kind || !k.workspace.MayCall(name) {
 		return nil, refuse(http.StatusNotFound, "no such "+string(kind)+": "+name).Err()
@@ -181,7 +181,7 @@
 }
 
 // spec returns the specification of a call.
-func (k *call) spec(c echo.Context, service *config.Service, path string) (request.Spec, error) {
+func (k *authenticatedCall) spec(c echo.Context, service *config.Service, path string) (request.Spec, error) {
 	route := k.index.Route(service, c.Request().Method, path)
 	spec := request.Spec{
 		Workspace: k.workspace.Name,
@@ -217,7 +217,7 @@
 	}
 	c.Response().Header().Set(headerRequestID, string(flight.ID()))
 	if spec.Async {
-		return accepted(c, flight.ID())
+		return writeAccepted(c, flight.ID())
 	}
 	return a.answer(c, flight, flight.Spec(), 0)
 }
@@ -236,8 +236,8 @@
 	return p
 }
 
-// accepted answers 202 with the place of the answer.
-func accepted(c echo.Context, id request.ID) error {
+// writeAccepted answers 202 with the place of the answer.
+func writeAccepted(c echo.Context, id request.ID) error {
 	location := "/v1/requests/" + string(id)
 	c.Response().Header().Set("Location", location)
 	c.Response().Header().Set("Preference-Applied", "respond-async")
--- a/internal/callerapi/fuzz_test.go
+++ b/internal/callerapi/fuzz_test.go
@@ -24,7 +24,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		req := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", strings.NewReader(text))
 		c := echo.New().NewContext(req, httptest.NewRecorder())
-		body, parameters, err := readBody(c)
+		body, parameters, err := parseGenerateBody(c)
 		if err != nil {
 			var refused problemError
 			if !errors.As(err, &refused) || refused.problem.Outcome != request.OutcomeNotRun {
@@ -35,7 +35,7 @@
 		if most := body.maxTokens(service); most < 1 || most > 100 {
 			t.Fatalf("limit of %d tokens", most)
 		}
-		_ = flatten(body.Messages)
+		_ = chatPrompt(body.Messages)
 		for name, value := range parameters {
 			if !json.Valid(value) {
 				t.Fatalf("parameter %s is not valid JSON: %q", name, value)
--- a/internal/callerapi/keyed.go
+++ b/internal/callerapi/keyed.go
@@ -14,19 +14,19 @@
 
 // Headers of requests that carry an idempotency key.
 const (
-	headerKey      = "Idempotency-Key"
-	headerReplayed = "Plankridge-Replayed"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerReplayed       = "Plankridge-Replayed"
 )
 
-// keyRetry is the advice to a caller whose key's request has not ended.
-const keyRetry = time.Second
+// keyRetryAfter is the advice to a caller whose key's request has not ended.
+const keyRetryAfter = time.Second
 
 // submitKeyed submits a request at the home of its key and answers it.
 func (a *API) submitKeyed(c echo.Context, spec request.Spec) error {
 	result, err := a.options.Keys.Submit(c.Request().Context(), spec)
 	if err != nil {
 		p := newProblem(http.StatusServiceUnavailable, request.OutcomeUnknown, "the home of this key gave no answer: send the same key again")
-		p.retryAfter = keyRetry
+		p.retryAfter = keyRetryAfter
 		return p.Err()
 	}
 	if result.RequestID != "" {
@@ -49,7 +49,7 @@
 	case keys.VerdictInFlight:
 		p := newProblem(http.StatusConflict, request.OutcomeUnknown, "the first request with this key has not ended: send the same key again")
 		p.RequestID = result.RequestID
-		p.retryAfter = keyRetry
+		p.retryAfter = keyRetryAfter
 		return p
 	case keys.VerdictMismatch:
 		return refuse(http.StatusUnprocessableEntity, "this key was used for another request")
@@ -69,12 +69,12 @@
 // answerKeyed answers a request that runs here or at the home of its key.
 func (a *API) answerKeyed(c echo.Context, spec request.Spec, id request.ID) error {
 	if spec.Async {
-		return accepted(c, id)
+		return writeAccepted(c, id)
 	}
 	spec.ID = id
 	source, err := a.locate(c.Request().Context(), id)
 	if errors.Is(err, dispatch.ErrNotFound) {
-		return seeOther(c, id)
+		return writeSeeOther(c, id)
 	}
 	if err != nil {
 		return readError(&spec, err)
--- a/internal/callerapi/models.go
+++ b/internal/callerapi/models.go
@@ -63,8 +63,8 @@
 	ServiceTier         string          `json:"service_tier"`
 }
 
-// readMembers are the members of generateBody.
-var readMembers = []string{"model", "messages", "prompt", "stream", "stream_options",
+// knownMembers are the members of generateBody.
+var knownMembers = []string{"model", "messages", "prompt", "stream", "stream_options",
 	"max_tokens", "max_completion_tokens", "n", "service_tier"}
 
 type streamOptions struct {
@@ -97,16 +97,16 @@
 	}
 	for _, part := range parts {
 		if part.Type != "text" {
-			return errOnlyText
+			return errNonTextPart
 		}
 		*t += content(part.Text)
 	}
 	return nil
 }
 
-// flatten makes the prompt of a chat: one line of role and text a message,
+// chatPrompt makes the prompt of a chat: one line of role and text a message,
 // and the line that the model continues.
-func flatten(messages []message) string {
+func chatPrompt(messages []message) string {
 	var prompt strings.Builder
 	for _, m := range messages {
 		prompt.WriteString(m.Role)
@@ -123,7 +123,7 @@
 		if len(body.Messages) == 0 {
 			return "", refuse(http.StatusBadRequest, "messages: must not be empty").Err()
 		}
-		return flatten(body.Messages), nil
+		return chatPrompt(body.Messages), nil
 	})
 }
 
@@ -143,7 +143,7 @@
 	if err != nil {
 		return err
 	}
-	body, parameters, err := readBody(c)
+	body, parameters, err := parseGenerateBody(c)
 	if err != nil {
 		return err
 	}
@@ -188,9 +188,9 @@
 	return false
 }
 
-// readBody decodes a body and keeps the members that this API does not read.
-func readBody(c echo.Context) (*generateBody, map[string][]byte, error) {
-	raw, err := readAll(c)
+// parseGenerateBody decodes a body and keeps the members that this API does not read.
+func parseGenerateBody(c echo.Context) (*generateBody, map[string][]byte, error) {
+	raw, err := readRequestBody(c)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -201,14 +201,14 @@
 	if body.N != nil && *body.N != 1 {
 		return nil, nil, refuse(http.StatusBadRequest, "n: only one choice a request is offered").Err()
 	}
-	if limit := body.limit(); limit != nil && *limit <= 0 {
+	if limit := body.tokenLimit(); limit != nil && *limit <= 0 {
 		return nil, nil, refuse(http.StatusBadRequest, "max_tokens: must be greater than zero").Err()
 	}
 	var members map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &members); err != nil {
 		return nil, nil, refuse(http.StatusBadRequest, "body: "+err.Error()).Err()
 	}
-	for _, name := range readMembers {
+	for _, name := range knownMembers {
 		delete(members, name)
 	}
 	parameters := make(map[string][]byte, len(members))
@@ -218,7 +218,7 @@
 	return body, parameters, nil
 }
 
-func (b *generateBody) limit() *int {
+func (b *generateBody) tokenLimit() *int {
 	if b.MaxCompletionTokens != nil {
 		return b.MaxCompletionTokens
 	}
@@ -226,11 +226,11 @@
 }
 
 func (b *generateBody) maxTokens(service *config.Service) int {
-	if limit := b.limit(); limit != nil {
+	if limit := b.tokenLimit(); limit != nil {
 		return min(*limit, service.Model.MaxTokens)
 	}
 	return service.Model.MaxTokens
 }
 
-// created is the time that answers carry, in seconds since 1970.
-func created(accepted time.Time) int64 { return accepted.Unix() }
+// createdUnix is the time that answers carry, in seconds since 1970.
+func createdUnix(accepted time.Time) int64 { return accepted.Unix() }
--- a/internal/callerapi/plain.go
+++ b/internal/callerapi/plain.go
@@ -14,13 +14,13 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-var errOnlyText = errors.New("only text parts are offered")
+var errNonTextPart = errors.New("only text parts are offered")
 
 // bodyLimit writes a size in the notation of the middleware.
 func bodyLimit(bytes int) string { return strconv.Itoa(bytes) + "B" }
 
-// readAll reads a caller's body. Errors of the body limit pass through.
-func readAll(c echo.Context) ([]byte, error) {
+// readRequestBody reads a caller's body. Errors of the body limit pass through.
+func readRequestBody(c echo.Context) ([]byte, error) {
 	raw, err := io.ReadAll(c.Request().Body)
 	if err == nil {
 		return raw, nil
@@ -32,22 +32,22 @@
 	return nil, refuse(http.StatusBadRequest, "body could not be read").Err()
 }
 
-// notForwarded are headers that concern one connection or this API alone.
-var notForwarded = []string{
+// notForwardedHeaders are headers that concern one connection or this API alone.
+var notForwardedHeaders = []string{
 	"Authorization", "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Prefer", "Expect", "Content-Length",
 	headerClass, headerRequestID, headerOutcome, "Plankridge-Attempt", "Plankridge-Workspace",
 }
 
-// endToEnd returns the headers that concern both ends of a call.
-func endToEnd(header http.Header) http.Header {
+// endToEndHeaders returns the headers that concern both ends of a call.
+func endToEndHeaders(header http.Header) http.Header {
 	kept := header.Clone()
 	for _, value := range header.Values("Connection") {
 		for _, name := range strings.Split(value, ",") {
 			kept.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range notForwarded {
+	for _, name := range notForwardedHeaders {
 		kept.Del(name)
 	}
 	return kept
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	body, err := readAll(c)
+	body, err := readRequestBody(c)
 	if err != nil {
 		return err
 	}
@@ -83,15 +83,15 @@
 	spec.Plain = &request.PlainRequest{
 		Method: c.Request().Method,
 		Path:   path,
-		Header: endToEnd(c.Request().Header),
+		Header: endToEndHeaders(c.Request().Header),
 		Body:   body,
 	}
-	key := c.Request().Header.Get(headerKey)
+	key := c.Request().Header.Get(headerIdempotencyKey)
 	if key == "" {
 		return a.submit(c, spec)
 	}
 	if len(key) > keys.MaxKeyBytes {
-		return refuse(http.StatusBadRequest, headerKey+": longer than 255 bytes").Err()
+		return refuse(http.StatusBadRequest, headerIdempotencyKey+": longer than 255 bytes").Err()
 	}
 	ref := keys.NewRef(keys.HomeZone(call.index.Deployment, call.workspace), keys.Scope{
 		Workspace: call.workspace.Name, Service: name, Path: keys.PathWithoutQuery(path),
--- a/internal/callerapi/problem.go
+++ b/internal/callerapi/problem.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// fromFailure returns the problem of an accepted request that has no answer.
-func fromFailure(id request.ID, failure *request.Failure) *problem {
+// failureProblem returns the problem of an accepted request that has no answer.
+func failureProblem(id request.ID, failure *request.Failure) *problem {
 	p := newProblem(failure.Status, failure.Outcome, failure.Detail)
 	p.RequestID = id
 	return p
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -64,9 +64,9 @@
 // Error implements error.
 func (e *UsageError) Error() string { return e.Message }
 
-// errOutcome means that the command ran and its result is not the wanted one;
+// errOutcomeNotMet means that the command ran and its result is not the wanted one;
 // what there is to say has been printed.
-var errOutcome = errors.New("stated outcome does not hold")
+var errOutcomeNotMet = errors.New("stated outcome does not hold")
 
 // ExitCode prints an error and returns the exit code that it means.
 func ExitCode(env *Environment, err error) int {
@@ -76,7 +76,7 @@
 	switch {
 	case err == nil:
 		return ExitOK
-	case errors.Is(err, errOutcome):
+	case errors.Is(err, errOutcomeNotMet):
 		return ExitFailed
 	case errors.As(err, &usage):
 		_, _ = fmt.Fprintln(env.Stderr, "plankridge:", usage.Message)
@@ -130,8 +130,8 @@
 	return eris.Wrap(err, "write output")
 }
 
-// show prints a value as a document, or by table where that is asked for.
-func show(env *Environment, value any, table func(io.Writer)) error {
+// printResult prints a value as a document, or by table where that is asked for.
+func printResult(env *Environment, value any, table func(io.Writer)) error {
 	if env.Output != OutputTable {
 		return printDocument(env, value)
 	}
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -37,22 +37,22 @@
 
 // trialRow is the mean of a combination's plays.
 type trialRow struct {
-	Day           string  `json:"day"`
-	Routing       string  `json:"routing"`
-	Sizing        string  `json:"sizing"`
-	Net           float64 `json:"net"`
-	Share         float64 `json:"share"`
-	WorstSpans    float64 `json:"worst_spans"`
-	OnTime        float64 `json:"on_time"`
-	Late          float64 `json:"late"`
-	Refused       float64 `json:"refused"`
-	Failed        float64 `json:"failed"`
-	FirstMS50     float64 `json:"first_ms_p50"`
-	FirstMS95     float64 `json:"first_ms_p95"`
-	ReadK         float64 `json:"thousand_tokens_read"`
-	ReadAgainK    float64 `json:"thousand_tokens_read_again"`
-	CopiedK       float64 `json:"thousand_tokens_copied"`
-	ServerSeconds float64 `json:"priced_server_seconds"`
+	Day              string  `json:"day"`
+	Routing          string  `json:"routing"`
+	Sizing           string  `json:"sizing"`
+	Net              float64 `json:"net"`
+	Share            float64 `json:"share"`
+	WorstSpans       float64 `json:"worst_spans"`
+	OnTime           float64 `json:"on_time"`
+	Late             float64 `json:"late"`
+	Refused          float64 `json:"refused"`
+	Failed           float64 `json:"failed"`
+	FirstP50MS       float64 `json:"first_ms_p50"`
+	FirstP95MS       float64 `json:"first_ms_p95"`
+	ReadKTokens      float64 `json:"thousand_tokens_read"`
+	ReadAgainKTokens float64 `json:"thousand_tokens_read_again"`
+	CopiedKTokens    float64 `json:"thousand_tokens_copied"`
+	ServerSeconds    float64 `json:"priced_server_seconds"`
 
 	shares []float64
 }
@@ -65,7 +65,7 @@
 	if options.Seeds < 1 || options.FirstSeed < 0 {
 		return &UsageError{Message: "experiment: --seeds must be at least 1 and --first-seed at least 0"}
 	}
-	trials, err := trialsOf(options)
+	trials, err := newTrials(options)
 	if err != nil {
 		return &UsageError{Message: "experiment: " + err.Error()}
 	}
@@ -79,12 +79,12 @@
 		if err != nil {
 			return err
 		}
-		for _, row := range play(day, trials, options) {
+		for _, row := range runTrials(day, trials, options) {
 			row.Day = strings.TrimSuffix(filepath.Base(file), filepath.Ext(file))
 			rows = append(rows, row)
 		}
 	}
-	return show(env, rows, func(out io.Writer) { printTrials(out, rows, options.Plot) })
+	return printResult(env, rows, func(out io.Writer) { printTrials(out, rows, options.Plot) })
 }
 
 // dayFiles returns the file that is named, or those of a directory in order.
@@ -103,7 +103,7 @@
 	return files, err
 }
 
-func trialsOf(options ExperimentOptions) ([]trial, error) {
+func newTrials(options ExperimentOptions) ([]trial, error) {
 	var policies []experiment.Policy
 	for _, name := range splitCommas(options.Routing) {
 		policy, err := experiment.PolicyNamed(name)
@@ -141,8 +141,8 @@
 	return all
 }
 
-// play plays every trial with every seed, a few at a time.
-func play(day *experiment.Day, trials []trial, options ExperimentOptions) []trialRow {
+// runTrials plays every trial with every seed, a few at a time.
+func runTrials(day *experiment.Day, trials []trial, options ExperimentOptions) []trialRow {
 	results := make([][]*experiment.Result, len(trials))
 	var running sync.WaitGroup
 	places := make(chan struct{}, max(1, runtime.NumCPU()/2))
@@ -159,12 +159,12 @@
 	running.Wait()
 	rows := make([]trialRow, len(trials))
 	for i, t := range trials {
-		rows[i] = meanOf(t, results[i])
+		rows[i] = meanRow(t, results[i])
 	}
 	return rows
 }
 
-func meanOf(t trial, results []*experiment.Result) trialRow {
+func meanRow(t trial, results []*experiment.Result) trialRow {
 	row := trialRow{Routing: t.policy.Name, Sizing: t.sizing.Name, shares: make([]float64, len(results[0].Shares()))}
 	share := 1 / float64(len(results))
 	const thousand = 1000
@@ -177,11 +177,11 @@
 		row.Late += asked * float64(r.Late)
 		row.Refused += asked * float64(r.Refused)
 		row.Failed += asked * float64(r.Failed)
-		row.FirstMS50 += share * float64(r.FirstMS(50))
-		row.FirstMS95 += share * float64(r.FirstMS(95))
-		row.ReadK += share * float64(r.Read) / thousand
-		row.ReadAgainK += share * float64(r.ReadAgain) / thousand
-		row.CopiedK += share * float64(r.Copied) / thousand
+		row.FirstP50MS += share * float64(r.FirstMS(50))
+		row.FirstP95MS += share * float64(r.FirstMS(95))
+		row.ReadKTokens += share * float64(r.Read) / thousand
+		row.ReadAgainKTokens += share * float64(r.ReadAgain) / thousand
+		row.CopiedKTokens += share * float64(r.Copied) / thousand
 		row.ServerSeconds += share * r.ServerSeconds
 		for i, s := range r.Shares() {
 			row.shares[i] += share * s
@@ -196,31 +196,31 @@
 	for _, r := range rows {
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%.3f\t%.3f\t%.2f\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\n",
 			r.Day, r.Routing, r.Sizing, r.Net, r.Share, r.WorstSpans, r.OnTime, r.Late, r.Refused, r.Failed,
-			r.FirstMS50, r.FirstMS95, r.ReadK, r.ReadAgainK, r.CopiedK, r.ServerSeconds)
+			r.FirstP50MS, r.FirstP95MS, r.ReadKTokens, r.ReadAgainKTokens, r.CopiedKTokens, r.ServerSeconds)
 	}
 	_ = table.Flush()
 	if plot {
 		_, _ = fmt.Fprintln(out)
-		_, _ = fmt.Fprintln(out, plotOf(rows))
+		_, _ = fmt.Fprintln(out, renderPlot(rows))
 	}
 }
 
 const (
 	plotWidth  = 78
 	plotHeight = 14
-	// mostPlotted bounds the lines of a plot to those that can be told apart.
-	mostPlotted = 5
+	// maxPlottedRows bounds the lines of a plot to those that can be told apart.
+	maxPlottedRows = 5
 )
 
-// plotOf draws the share of the worth earned over the day, the best rows.
-func plotOf(rows []trialRow) string {
+// renderPlot draws the share of the worth earned over the day, the best rows.
+func renderPlot(rows []trialRow) string {
 	best := slices.SortedFunc(slices.Values(rows), func(a, b trialRow) int {
 		if a.Net > b.Net {
 			return -1
 		}
 		return 1
 	})
-	best = best[:min(len(best), mostPlotted)]
+	best = best[:min(len(best), maxPlottedRows)]
 	colours := []asciigraph.AnsiColor{asciigraph.Default, asciigraph.Red, asciigraph.Green, asciigraph.Blue, asciigraph.Yellow}
 	var lines [][]float64
 	var names []string
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -76,7 +76,7 @@
 		}
 	}
 	for _, c := range counts {
-		if err := write(env.Stdout, "%7d  %s\n", c.Requests, c.Cause); err != nil {
+		if err := writeOutput(env.Stdout, "%7d  %s\n", c.Requests, c.Cause); err != nil {
 			return err
 		}
 	}
@@ -84,10 +84,10 @@
 	if total > 0 {
 		named = 100 * float64(total-unknown) / float64(total)
 	}
-	return write(env.Stdout, "%7d  in all; the cause is named for %.1f%%\n", total, named)
+	return writeOutput(env.Stdout, "%7d  in all; the cause is named for %.1f%%\n", total, named)
 }
 
-func write(w io.Writer, format string, args ...any) error {
+func writeOutput(w io.Writer, format string, args ...any) error {
 	_, err := fmt.Fprintf(w, format, args...)
 	return eris.Wrap(err, "write output")
 }
--- a/internal/cli/files.go
+++ b/internal/cli/files.go
@@ -51,8 +51,8 @@
 	Wait bool
 }
 
-// waitPoll is the pause between two looks at the daemons' generations.
-const waitPoll = 100 * time.Millisecond
+// waitPollInterval is the pause between two looks at the daemons' generations.
+const waitPollInterval = 100 * time.Millisecond
 
 // Apply makes files the next generation.
 func Apply(env *Environment, options ApplyOptions) error {
@@ -85,7 +85,7 @@
 			return err
 		}
 	}
-	return show(env, response, func(out io.Writer) { printApplied(out, response, options.Wait) })
+	return printResult(env, response, func(out io.Writer) { printApplied(out, response, options.Wait) })
 }
 
 func printApplied(out io.Writer, response operatorapi.ApplyResponse, waited bool) {
@@ -106,7 +106,7 @@
 			return nil
 		}
 		select {
-		case <-time.After(waitPoll):
+		case <-time.After(waitPollInterval):
 		case <-env.Context.Done():
 			return eris.Wrapf(env.Context.Err(), "generation %d is accepted but not yet in force everywhere", generation)
 		}
@@ -139,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	return show(env, response, func(out io.Writer) { printDiff(out, response) })
+	return printResult(env, response, func(out io.Writer) { printDiff(out, response) })
 }
 
 func printDiff(out io.Writer, response operatorapi.DiffResponse) {
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -68,7 +68,7 @@
 		Example: options.Example,
 		Logger:  Logger(env, level),
 		ListLag: devListLag,
-		Plane:   dev.Loopback{},
+		Hosts:   dev.Loopback{},
 	})
 	if err != nil {
 		return err
@@ -77,7 +77,7 @@
 	if err := deployment.WaitReady(env.Context); err != nil {
 		return err
 	}
-	if err := deployment.Balance(options.Listen); err != nil {
+	if err := deployment.StartBalancer(options.Listen); err != nil {
 		return err
 	}
 	printDev(env, options.Example, deployment)
@@ -104,14 +104,14 @@
   go run ./cmd/plankridge replay testdata/traces/%s-day.jsonl --url %s --operators %s
   go run ./cmd/plankridge status --url %s
   curl %s/reclaim -d '{"zone":"%s","role":"backend","notice":"10s"}'
-`, example, len(d.Nodes), len(d.Cloud.Fleet.Members())-len(d.Nodes), d.URL, d.OperatorURL(), d.Cloud.CloudURL,
+`, example, len(d.Nodes), len(d.StandIns.Fleet.Members())-len(d.Nodes), d.URL, d.OperatorURL(), d.StandIns.CloudURL,
 		key, workspace, d.URL, key, model, example, d.URL, d.OperatorURL(), d.OperatorURL(),
-		d.Cloud.CloudURL, d.Nodes[0].Daemon.VM().Zone)
+		d.StandIns.CloudURL, d.Nodes[0].Daemon.VM().Zone)
 }
 
 // sampleCaller returns a workspace of the sample and a model that it may call.
 func sampleCaller(d *dev.Deployment) (workspace, model string) {
-	wanted := d.Cloud.Wanted()
+	wanted := d.StandIns.Wanted()
 	for _, service := range wanted.Services {
 		if service.Kind != config.KindModel {
 			continue
--- a/internal/cli/show.go
+++ b/internal/cli/show.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	return show(env, status, func(out io.Writer) { printStatus(out, status) })
+	return printResult(env, status, func(out io.Writer) { printStatus(out, status) })
 }
 
 func newTable(out io.Writer) *tabwriter.Writer {
@@ -99,7 +99,7 @@
 		return err
 	}
 	report := newBurnReport(response)
-	return show(env, report, func(out io.Writer) { printBurn(out, report) })
+	return printResult(env, report, func(out io.Writer) { printBurn(out, report) })
 }
 
 func newBurnReport(response operatorapi.BurnResponse) burnReport {
@@ -173,7 +173,7 @@
 		return err
 	}
 	if !summary.Holds() {
-		return errOutcome
+		return errOutcomeNotMet
 	}
 	return nil
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -67,15 +67,15 @@
 	keys       *keys.Manager
 	creds      *peer.Credentials
 
-	draining  atomic.Bool
-	callers   net.Listener
-	peers     net.Listener
-	operators net.Listener
+	draining         atomic.Bool
+	callerListener   net.Listener
+	peerListener     net.Listener
+	operatorListener net.Listener
 
-	callerAPI   *callerapi.API
-	callerHTTP  *http.Server
-	peerServer  *grpc.Server
-	operatorAPI *http.Server
+	callerAPI      *callerapi.API
+	callerServer   *http.Server
+	peerServer     *grpc.Server
+	operatorServer *http.Server
 }
 
 // New builds a daemon and opens its listeners. Run serves on them.
@@ -104,9 +104,9 @@
 		address string
 		into    *net.Listener
 	}{
-		{d.settings.Listen.Callers, &d.callers},
-		{d.settings.Listen.Peers, &d.peers},
-		{d.settings.Listen.Operators, &d.operators},
+		{d.settings.Listen.Callers, &d.callerListener},
+		{d.settings.Listen.Peers, &d.peerListener},
+		{d.settings.Listen.Operators, &d.operatorListener},
 	}
 	for _, l := range listeners {
 		listener, err := n.Listen(l.address)
@@ -119,7 +119,7 @@
 }
 
 func (d *Daemon) closeListeners() {
-	for _, listener := range []net.Listener{d.callers, d.peers, d.operators} {
+	for _, listener := range []net.Listener{d.callerListener, d.peerListener, d.operatorListener} {
 		if listener != nil {
 			_ = listener.Close()
 		}
@@ -189,7 +189,7 @@
 		Self:       keys.Holder{Daemon: d.settings.Daemon.ID, Incarnation: d.mesh.Incarnation()},
 		Zone:       d.settings.Daemon.Zone,
 		Store:      store.NewValues(d.objects, keys.Kind),
-		Peers:      &peer.KeyPeers{Mesh: d.mesh, Dispatcher: d.dispatcher, KnownZones: d.zones},
+		Peers:      &peer.KeyPeers{Mesh: d.mesh, Dispatcher: d.dispatcher, KnownZones: d.zoneNames},
 		Dispatcher: d.dispatcher,
 		Logger:     d.logger,
 		Registerer: d.metrics,
@@ -213,7 +213,7 @@
 		Registerer: d.metrics,
 		Ready:      d.Ready,
 	})
-	d.callerHTTP = &http.Server{
+	d.callerServer = &http.Server{
 		Handler:           d.callerAPI,
 		MaxHeaderBytes:    d.settings.Limits.HeaderBytes,
 		ReadHeaderTimeout: d.settings.Limits.ReadTimeout.Std(),
@@ -233,7 +233,7 @@
 		Self:      d.status,
 		Ready:     d.Ready,
 	})
-	d.operatorAPI = &http.Server{Handler: operators, ReadHeaderTimeout: d.settings.Limits.ReadTimeout.Std()}
+	d.operatorServer = &http.Server{Handler: operators, ReadHeaderTimeout: d.settings.Limits.ReadTimeout.Std()}
 }
 
 // locator adapts the mesh to the caller API.
@@ -250,13 +250,13 @@
 		ID:              d.settings.Daemon.ID,
 		Zone:            d.settings.Daemon.Zone,
 		Role:            vmlist.RoleEntry,
-		Address:         d.peers.Addr().String(),
-		OperatorAddress: d.operators.Addr().String(),
+		Address:         d.peerListener.Addr().String(),
+		OperatorAddress: d.operatorListener.Addr().String(),
 	}
 }
 
 // CallerAddress returns the IP:port of the caller API.
-func (d *Daemon) CallerAddress() string { return d.callers.Addr().String() }
+func (d *Daemon) CallerAddress() string { return d.callerListener.Addr().String() }
 
 // Ready reports whether the daemon has a deployment, is shown by the VM list
 // and is not shutting down. Others tell its death by the list, so it takes
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -22,11 +22,11 @@
 	background.Go(func() { d.keys.Run(loops) })
 
 	failed := make(chan error, 3)
-	background.Go(func() { failed <- ignoreClosed(d.callerHTTP.Serve(d.callers)) })
-	background.Go(func() { failed <- ignoreClosed(d.operatorAPI.Serve(d.operators)) })
-	background.Go(func() { failed <- ignoreClosed(d.peerServer.Serve(d.peers)) })
+	background.Go(func() { failed <- ignoreClosed(d.callerServer.Serve(d.callerListener)) })
+	background.Go(func() { failed <- ignoreClosed(d.operatorServer.Serve(d.operatorListener)) })
+	background.Go(func() { failed <- ignoreClosed(d.peerServer.Serve(d.peerListener)) })
 	d.logger.Info("daemon started", "zone", d.settings.Daemon.Zone, "callers", d.CallerAddress(),
-		"operators", d.operators.Addr().String(), "peers", d.peers.Addr().String())
+		"operators", d.operatorListener.Addr().String(), "peers", d.peerListener.Addr().String())
 
 	var err error
 	select {
@@ -61,7 +61,7 @@
 	case <-kill.Done():
 		return kill.Err()
 	}
-	if err := d.callerHTTP.Shutdown(kill); err != nil {
+	if err := d.callerServer.Shutdown(kill); err != nil {
 		return eris.Wrap(err, "wait for callers")
 	}
 	if err := d.dispatcher.Drain(kill); err != nil {
@@ -94,7 +94,7 @@
 	d.dispatcher.Evacuate(ctx)
 	d.releaseKeys(ctx)
 	d.logger.Info("every request has ended or moved")
-	return d.callerHTTP.Shutdown(ctx)
+	return d.callerServer.Shutdown(ctx)
 }
 
 // releaseTimeout bounds the release of key slots. Without it, others take them
@@ -107,8 +107,8 @@
 	d.keys.Release(ctx)
 }
 
-// zones returns the availability zones of the deployment in force.
-func (d *Daemon) zones() []string {
+// zoneNames returns the availability zones of the deployment in force.
+func (d *Daemon) zoneNames() []string {
 	index := d.follower.Index()
 	if index == nil {
 		return nil
@@ -125,7 +125,7 @@
 	d.mesh.Close()
 	d.peerServer.Stop()
 	d.dispatcher.Stop()
-	_ = d.callerHTTP.Close()
-	_ = d.operatorAPI.Close()
+	_ = d.callerServer.Close()
+	_ = d.operatorServer.Close()
 	d.creds.Close()
 }
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -39,7 +39,7 @@
 	Logger  *slog.Logger
 	// ListLag is how late the VM list shows a change.
 	ListLag time.Duration
-	Plane   Plane
+	Hosts   HostAllocator
 	// Instant makes the backend servers answer at once and takes the limits of
 	// the workspaces away, for benchmarks of the daemons.
 	Instant bool
@@ -47,23 +47,23 @@
 	Adjust func(*config.Settings)
 	// Ends, when not nil, reports whether a backend server ends when it runs a request with a
 	// body. Another one starts in its place.
-	Ends func(service string, body []byte) bool
+	CrashesOn func(service string, body []byte) bool
 	// OnViolation is called when the program breaks an invariant.
 	OnViolation func(error)
 }
 
 // Deployment is a running deployment.
 type Deployment struct {
-	// Cloud are the stand-ins of the outside systems.
-	Cloud *StandIns
+	// StandIns are the stand-ins of the outside systems.
+	StandIns *StandIns
 	// Nodes are the entry VMs of all availability zones.
 	Nodes []*Node
 	// URL is where callers send requests, once Balance has been called.
 	URL string
 
-	options  Options
-	operator Host
-	stop     []func()
+	options      Options
+	operatorHost Host
+	stopFuncs    []func()
 }
 
 // Node is an entry VM with its daemon.
@@ -122,11 +122,11 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Deployment{Cloud: standIns, options: options, operator: options.Plane.NewHost()}
+	d := &Deployment{StandIns: standIns, options: options, operatorHost: options.Hosts.NewHost()}
 	for _, zone := range wanted.Zones {
 		for i := range daemonsPerZone {
 			id := fmt.Sprintf("%s-entry-%d", zone.Name, i+1)
-			if _, err := d.StartNode(id, zone.Name, options.Plane.NewHost()); err != nil {
+			if _, err := d.StartNode(id, zone.Name, options.Hosts.NewHost()); err != nil {
 				d.Stop()
 				return nil, err
 			}
@@ -141,13 +141,13 @@
 
 // Publisher returns a publisher that applies to the platform directly.
 func (d *Deployment) Publisher() *generation.Publisher {
-	client := &http.Client{Transport: network.Transport(d.operator.Network, true)}
-	return generation.NewPublisher(generation.Values(platform.NewStore(d.Cloud.ObjectsURL, client)))
+	client := &http.Client{Transport: network.Transport(d.operatorHost.Network, true)}
+	return generation.NewPublisher(generation.Values(platform.NewStore(d.StandIns.ObjectsURL, client)))
 }
 
 // StartNode starts a daemon on an entry VM and puts it into the VM list.
 func (d *Deployment) StartNode(id, zone string, host Host) (*Node, error) {
-	settings := d.Cloud.Settings(id, zone, host)
+	settings := d.StandIns.Settings(id, zone, host)
 	if d.options.Adjust != nil {
 		d.options.Adjust(&settings)
 	}
@@ -161,7 +161,7 @@
 	killing, kill := context.WithCancel(context.Background())
 	node := &Node{Daemon: one, Host: host, drain: drain, kill: kill, done: make(chan struct{})}
 	d.Nodes = append(d.Nodes, node)
-	d.Cloud.Fleet.Add(one.VM(), node.Kill)
+	d.StandIns.Fleet.Add(one.VM(), node.Kill)
 	go func() {
 		defer close(node.done)
 		node.err = one.Run(serving, killing)
@@ -184,9 +184,9 @@
 	return nil
 }
 
-// Balance puts a balancer before the daemons. It returns when the balancer
+// StartBalancer puts a balancer before the daemons. It returns when the balancer
 // has found them ready.
-func (d *Deployment) Balance(listen string) error {
+func (d *Deployment) StartBalancer(listen string) error {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return eris.Wrap(err, "listen for callers")
@@ -197,7 +197,7 @@
 		targets = append(targets, balancer.Target{Callers: address, Ready: "http://" + address + "/readyz"})
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	d.stop = append(d.stop, stop)
+	d.stopFuncs = append(d.stopFuncs, stop)
 	b := balancer.New(targets)
 	b.Check(ctx)
 	go b.Serve(ctx, listener)
@@ -212,11 +212,11 @@
 
 // Stop ends everything at once.
 func (d *Deployment) Stop() {
-	for _, stop := range d.stop {
+	for _, stop := range d.stopFuncs {
 		stop()
 	}
 	for _, node := range d.Nodes {
 		node.Kill()
 	}
-	d.Cloud.Close()
+	d.StandIns.Close()
 }
--- a/internal/dev/plane.go
+++ b/internal/dev/plane.go
@@ -9,8 +9,8 @@
 	"github.com/plankridge/plankridge/internal/standin/memnet"
 )
 
-// Plane gives each VM its place on a network.
-type Plane interface {
+// HostAllocator gives each VM its place on a network.
+type HostAllocator interface {
 	// NewHost returns the place of the next VM.
 	NewHost() Host
 }
--- a/internal/dev/standins.go
+++ b/internal/dev/standins.go
@@ -25,11 +25,11 @@
 // Sizes of the stand-ins. They are round assumptions, not measurements of a
 // real system.
 const (
-	engineCacheBlocks = 4096
-	engineReportLag   = 500 * time.Millisecond
-	plainWork         = 8 * time.Millisecond
-	artifactBytes     = 24 << 30
-	weightStoreRate   = 2 << 30
+	engineCacheBlocks         = 4096
+	engineReportLag           = 500 * time.Millisecond
+	plainWorkTime             = 8 * time.Millisecond
+	artifactBytes             = 24 << 30
+	weightStoreBytesPerSecond = 2 << 30
 )
 
 // StandIns are the stand-ins of every outside system, on loopback addresses.
@@ -80,12 +80,12 @@
 	s := &StandIns{
 		options: options,
 		Store:   fake.NewStore(),
-		Weights: weightstore.New(artifactBytes, weightStoreRate),
+		Weights: weightstore.New(artifactBytes, weightStoreBytesPerSecond),
 		Ledgers: map[string]*plainservice.Ledger{},
 		engines: map[string]*modelengine.Server{},
 		wanted:  wanted,
 	}
-	s.Fleet = fleet.New(s.launch)
+	s.Fleet = fleet.New(s.launchBackend)
 	for _, service := range wanted.Services {
 		if service.Kind == config.KindPlain {
 			s.Ledgers[service.Name] = plainservice.NewLedger()
@@ -101,7 +101,7 @@
 		{s.Weights, &s.WeightsURL},
 	}
 	for _, endpoint := range endpoints {
-		address, server, err := serve(options.Plane.NewHost(), endpoint.handler)
+		address, server, err := serve(options.Hosts.NewHost(), endpoint.handler)
 		if err != nil {
 			s.Close()
 			return nil, err
@@ -151,16 +151,16 @@
 	return nil
 }
 
-// launch starts the process of a backend server.
-func (s *StandIns) launch(vm vmlist.VM) (string, func(), error) {
-	handler, err := s.backend(vm)
+// launchBackend starts the process of a backend server.
+func (s *StandIns) launchBackend(vm vmlist.VM) (string, func(), error) {
+	handler, err := s.backendHandler(vm)
 	if err != nil {
 		return "", nil, err
 	}
-	if s.options.Ends != nil {
-		handler = s.endOn(vm, handler)
+	if s.options.CrashesOn != nil {
+		handler = s.crashOn(vm, handler)
 	}
-	address, server, err := serve(s.options.Plane.NewHost(), handler)
+	address, server, err := serve(s.options.Hosts.NewHost(), handler)
 	if err != nil {
 		return "", nil, err
 	}
@@ -168,41 +168,41 @@
 }
 
 const (
-	// endsAfter is how long a server runs a request that ends it, bootTime how long it takes
+	// crashDelay is how long a server runs a request that ends it, replacementBootTime how long it takes
 	// until another one runs in its place.
-	endsAfter = 60 * time.Millisecond
-	bootTime  = 2 * time.Second
+	crashDelay          = 60 * time.Millisecond
+	replacementBootTime = 2 * time.Second
 )
 
-// endOn ends a server under requests that end servers.
-func (s *StandIns) endOn(vm vmlist.VM, next http.Handler) http.Handler {
+// crashOn ends a server under requests that end servers.
+func (s *StandIns) crashOn(vm vmlist.VM, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		if !s.options.Ends(vm.Service, body) {
+		if !s.options.CrashesOn(vm.Service, body) {
 			next.ServeHTTP(w, r)
 			return
 		}
-		time.Sleep(endsAfter)
-		go s.replace(vm)
+		time.Sleep(crashDelay)
+		go s.replaceServer(vm)
 		panic(http.ErrAbortHandler)
 	})
 }
 
-// replace ends a server and starts another one in its place.
-func (s *StandIns) replace(vm vmlist.VM) {
+// replaceServer ends a server and starts another one in its place.
+func (s *StandIns) replaceServer(vm vmlist.VM) {
 	s.Fleet.Kill(vm.ID)
-	time.Sleep(bootTime)
+	time.Sleep(replacementBootTime)
 	order := cloud.StartOrder{OrderID: "instead-of-" + vm.ID, Zone: vm.Zone, Class: vm.Class, Market: config.Market(vm.Market), Service: vm.Service}
 	if _, err := s.Fleet.Start(order); err != nil {
 		s.options.Logger.Error("no server in place of one that ended", "server", vm.ID, "error", err)
 	}
 }
 
-func (s *StandIns) backend(vm vmlist.VM) (http.Handler, error) {
+func (s *StandIns) backendHandler(vm vmlist.VM) (http.Handler, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, service := range s.wanted.Services {
@@ -210,7 +210,7 @@
 			continue
 		}
 		if service.Kind == config.KindPlain {
-			server := plainservice.New(s.Ledgers[vm.Service], s.plainWork())
+			server := plainservice.New(s.Ledgers[vm.Service], s.plainWorkDuration())
 			s.plain = append(s.plain, server)
 			return server, nil
 		}
@@ -225,11 +225,11 @@
 	return nil, eris.Errorf("no service is called %q", vm.Service)
 }
 
-func (s *StandIns) plainWork() time.Duration {
+func (s *StandIns) plainWorkDuration() time.Duration {
 	if s.options.Instant {
 		return 0
 	}
-	return plainWork
+	return plainWorkTime
 }
 
 // EngineConfig returns the stand-in engine of a model service.
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -17,8 +17,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxAnswer bounds the size of an answer in bytes.
-const maxAnswer = 16 << 20
+// maxResponseBytes bounds the size of an answer in bytes.
+const maxResponseBytes = 16 << 20
 
 // StatusError is an answer whose status is not 2xx.
 type StatusError struct {
@@ -35,8 +35,8 @@
 // cannot have taken effect.
 var ErrNotSent = errors.New("call was not sent")
 
-// Raw takes an answer as it is, for a caller that decodes it itself.
-type Raw []byte
+// RawBody takes an answer as it is, for a caller that decodes it itself.
+type RawBody []byte
 
 // Client calls one endpoint.
 type Client struct {
@@ -52,17 +52,17 @@
 // when that is not nil. It returns a *StatusError for other statuses than 2xx.
 // An error that wraps ErrNotSent had no effect; any other error may have had.
 func (c *Client) Call(ctx context.Context, method, path string, in, out any) error {
-	return c.CallWith(ctx, method, path, nil, in, out)
+	return c.CallWithHeader(ctx, method, path, nil, in, out)
 }
 
-// CallWith is Call with headers of the caller's.
-func (c *Client) CallWith(ctx context.Context, method, path string, header http.Header, in, out any) error {
+// CallWithHeader is Call with headers of the caller's.
+func (c *Client) CallWithHeader(ctx context.Context, method, path string, header http.Header, in, out any) error {
 	ctx, sent := traceSent(ctx)
-	req, err := c.request(ctx, method, path, header, in)
+	req, err := c.newRequest(ctx, method, path, header, in)
 	if err != nil {
 		return err
 	}
-	resp, err := c.client().Do(req)
+	resp, err := c.httpClient().Do(req)
 	if err != nil {
 		if !sent.Load() {
 			return fmt.Errorf("%w: %w", ErrNotSent, err)
@@ -70,10 +70,10 @@
 		return eris.Wrap(err, "call")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return decode(resp, out)
+	return decodeResponse(resp, out)
 }
 
-func (c *Client) request(ctx context.Context, method, path string, header http.Header, in any) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, method, path string, header http.Header, in any) (*http.Request, error) {
 	var body io.Reader
 	var size int64
 	if in != nil {
@@ -100,8 +100,8 @@
 	return req, nil
 }
 
-func decode(resp *http.Response, out any) error {
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+func decodeResponse(resp *http.Response, out any) error {
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return eris.Wrap(err, "read answer")
 	}
@@ -111,7 +111,7 @@
 	if out == nil || len(raw) == 0 {
 		return nil
 	}
-	if whole, ok := out.(*Raw); ok {
+	if whole, ok := out.(*RawBody); ok {
 		*whole = raw
 		return nil
 	}
@@ -121,7 +121,7 @@
 	return nil
 }
 
-func (c *Client) client() *http.Client {
+func (c *Client) httpClient() *http.Client {
 	if c.HTTP != nil {
 		return c.HTTP
 	}
--- a/internal/network/network.go
+++ b/internal/network/network.go
@@ -47,29 +47,29 @@
 
 // Dial implements Network.
 func (TCP) Dial(ctx context.Context, address string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: probes, Control: limitUnacknowledged}
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAliveProbes, Control: setUserTimeout}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
 // A peer behind a partition, or without power, says nothing. These find it out
 // within about two seconds on a connection that waits (probes) and on one that
 // has sent (unacknowledged).
-const unacknowledged = 2 * time.Second
+const unacknowledgedTimeout = 2 * time.Second
 
-var probes = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
+var keepAliveProbes = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
 
-// limitUnacknowledged bounds how long sent bytes may stay unacknowledged.
-func limitUnacknowledged(_, _ string, conn syscall.RawConn) error {
+// setUserTimeout bounds how long sent bytes may stay unacknowledged.
+func setUserTimeout(_, _ string, conn syscall.RawConn) error {
 	var failed error
 	err := conn.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
 	})
 	return errors.Join(err, failed)
 }
 
 const (
-	maxIdlePerHost  = 64
-	idleConnTimeout = time.Minute
+	maxIdleConnsPerHost = 64
+	idleConnTimeout     = time.Minute
 )
 
 // Transport returns an HTTP transport that dials through n. A fresh transport
@@ -79,7 +79,7 @@
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 			return n.Dial(ctx, address)
 		},
-		MaxIdleConnsPerHost: maxIdlePerHost,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     idleConnTimeout,
 		DisableKeepAlives:   fresh,
 		DisableCompression:  true,
--- a/internal/operatorapi/api.go
+++ b/internal/operatorapi/api.go
@@ -125,7 +125,7 @@
 	}
 	deployment, err := config.Load(body.Files)
 	if err != nil {
-		return a.fail(c, err)
+		return a.writeError(c, err)
 	}
 	if body.DryRun {
 		return c.JSON(http.StatusOK, ApplyResponse{Generation: body.BasedOn + 1, DryRun: true})
@@ -134,14 +134,14 @@
 	defer cancel()
 	manifest, err := a.options.Publisher.Apply(ctx, deployment, body.BasedOn, body.ApplyID)
 	if err != nil {
-		return a.fail(c, err)
+		return a.writeError(c, err)
 	}
 	a.options.Logger.Info("deployment applied", "generation", manifest.Generation, "apply_id", body.ApplyID)
 	return c.JSON(http.StatusOK, ApplyResponse{Generation: manifest.Generation})
 }
 
-// fail answers with the status that fits an error.
-func (a *API) fail(c echo.Context, err error) error {
+// writeError answers with the status that fits an error.
+func (a *API) writeError(c echo.Context, err error) error {
 	var findings *finding.Error
 	var conflict *generation.ConflictError
 	switch {
@@ -155,9 +155,9 @@
 	return c.JSON(http.StatusInternalServerError, Failure{Message: err.Error()})
 }
 
-// current returns the deployment in the store or, when the store cannot be
+// currentDeployment returns the deployment in the store or, when the store cannot be
 // reached, the one in force here.
-func (a *API) current(ctx context.Context) (generation.Document, error) {
+func (a *API) currentDeployment(ctx context.Context) (generation.Document, error) {
 	manifest, deployment, err := a.options.Publisher.Read(ctx)
 	if errors.Is(err, generation.ErrNoDeployment) {
 		return generation.Document{Deployment: &config.Deployment{}}, nil
@@ -173,9 +173,9 @@
 }
 
 func (a *API) deployment(c echo.Context) error {
-	document, err := a.current(c.Request().Context())
+	document, err := a.currentDeployment(c.Request().Context())
 	if err != nil {
-		return a.fail(c, err)
+		return a.writeError(c, err)
 	}
 	return c.JSON(http.StatusOK, document)
 }
@@ -198,11 +198,11 @@
 	}
 	wanted, err := config.Load(body.Files)
 	if err != nil {
-		return a.fail(c, err)
+		return a.writeError(c, err)
 	}
-	document, err := a.current(c.Request().Context())
+	document, err := a.currentDeployment(c.Request().Context())
 	if err != nil {
-		return a.fail(c, err)
+		return a.writeError(c, err)
 	}
 	changes := config.Diff(document.Deployment, wanted)
 	return c.JSON(http.StatusOK, DiffResponse{Generation: document.Generation, Changes: changes})
@@ -216,13 +216,13 @@
 
 func (a *API) status(c echo.Context) error {
 	return c.JSON(http.StatusOK, StatusResponse{
-		Daemons: a.daemons(c.Request().Context()),
+		Daemons: a.daemonStatuses(c.Request().Context()),
 		Servers: a.options.Registry.ServerCounts(),
 	})
 }
 
-// daemons returns the status of every daemon, this one from its own memory.
-func (a *API) daemons(ctx context.Context) []peer.DaemonStatus {
+// daemonStatuses returns the status of every daemon, this one from its own memory.
+func (a *API) daemonStatuses(ctx context.Context) []peer.DaemonStatus {
 	self := a.options.Self()
 	statuses := a.options.Mesh.Statuses(ctx)
 	for i := range statuses {
@@ -242,7 +242,7 @@
 
 func (a *API) burn(c echo.Context) error {
 	var sets [][]burn.Row
-	for _, daemon := range a.daemons(c.Request().Context()) {
+	for _, daemon := range a.daemonStatuses(c.Request().Context()) {
 		sets = append(sets, daemon.Burn)
 	}
 	response := BurnResponse{Rows: burn.Merge(sets...)}
--- a/robustness/advice_test.go
+++ b/robustness/advice_test.go
@@ -66,7 +66,7 @@
 // keep one by themselves, and against a server that is not used again afterwards.
 func TestServersOfTheOwnInterfaceKeepTheirLimits(t *testing.T) {
 	run(t, "ndiaye", func(b *bed) {
-		servers := b.d.Cloud.PlainServers()
+		servers := b.d.StandIns.PlainServers()
 		b.Assert(len(servers) >= 2, qt.IsTrue)
 		limited := servers[0]
 		b.weigh(2 * time.Second)
@@ -102,7 +102,7 @@
 // lie idle at daemons without callers.
 func TestLimitedServersOfTheOwnInterfaceAreUsedByOneDaemonWithCallers(t *testing.T) {
 	run(t, "ndiaye", func(b *bed) {
-		servers := b.d.Cloud.PlainServers()
+		servers := b.d.StandIns.PlainServers()
 		for _, s := range servers {
 			s.Faults.Set(faults.State{Header: map[string]string{"Plankridge-Limit": "2"}})
 		}
@@ -128,18 +128,18 @@
 		"a daemon of the server's zone dies": func(b *bed) {
 			node := b.d.Nodes[0]
 			node.Kill()
-			b.d.Cloud.Fleet.Kill(node.Daemon.VM().ID)
+			b.d.StandIns.Fleet.Kill(node.Daemon.VM().ID)
 		},
 		"a daemon is cut off from the others": func(b *bed) {
 			for _, other := range b.d.Nodes[1:] {
 				b.plane.Net.Cut(b.d.Nodes[0].Host.IP, other.Host.IP)
 			}
 		},
-		"the list of VMs is away": func(b *bed) { b.d.Cloud.Fleet.ListFaults.Set(faults.State{Outage: true}) },
+		"the list of VMs is away": func(b *bed) { b.d.StandIns.Fleet.ListFaults.Set(faults.State{Outage: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, "ndiaye", func(b *bed) {
-				limited := b.d.Cloud.PlainServers()[0]
+				limited := b.d.StandIns.PlainServers()[0]
 				limited.Faults.Set(faults.State{Header: map[string]string{"Plankridge-Limit": "2"}})
 				b.weigh(adviceLearned)
 				trouble(b)
@@ -157,7 +157,7 @@
 // be asked.
 func TestAllServersOfTheOwnInterfaceAtTheirLimits(t *testing.T) {
 	run(t, "ndiaye", func(b *bed) {
-		for _, s := range b.d.Cloud.PlainServers() {
+		for _, s := range b.d.StandIns.PlainServers() {
 			s.Faults.Set(faults.State{Header: map[string]string{"Plankridge-Limit": "2"}})
 		}
 		b.weigh(adviceLearned)
@@ -186,7 +186,7 @@
 // alone, and against callers that are refused for it.
 func TestServersOfTheOwnInterfaceThatSayTheyLeave(t *testing.T) {
 	run(t, "ndiaye", func(b *bed) {
-		leaving := b.d.Cloud.PlainServers()[0]
+		leaving := b.d.StandIns.PlainServers()[0]
 		b.weigh(time.Second)
 		leaving.Faults.Set(faults.State{Header: map[string]string{"Plankridge-Leaving": "1"}})
 		told := time.Now().Add(2 * time.Second)
@@ -200,7 +200,7 @@
 // declined, and against callers that wait for them.
 func TestEnginesThatAskForRestGetIt(t *testing.T) {
 	run(t, "ndiaye", func(b *bed) {
-		engines := b.d.Cloud.Engines()
+		engines := b.d.StandIns.Engines()
 		for _, engine := range engines {
 			engine.Faults.Set(faults.State{Refuse: true, Header: map[string]string{"Retry-After": "3"}})
 		}
--- a/robustness/bed_test.go
+++ b/robustness/bed_test.go
@@ -57,7 +57,7 @@
 func startWith(t *testing.T, options dev.Options) *bed {
 	c := qt.New(t)
 	plane := &dev.Memory{Net: memnet.New()}
-	options.Plane = plane
+	options.Hosts = plane
 	d, err := dev.Start(context.Background(), options)
 	c.Assert(err, qt.IsNil)
 	c.Assert(d.WaitReady(context.Background()), qt.IsNil)
--- a/robustness/caller_test.go
+++ b/robustness/caller_test.go
@@ -94,7 +94,7 @@
 // running returns the number of requests inside all engines.
 func (b *bed) running() int {
 	total := 0
-	for _, engine := range b.d.Cloud.Engines() {
+	for _, engine := range b.d.StandIns.Engines() {
 		total += engine.Running()
 	}
 	return total
@@ -125,7 +125,7 @@
 		r, cancel := b.stream(http.MethodPost, balancerURL+"/v1/chat/completions", "devis", chatBody)
 		r.tokens(2)
 		b.Assert(b.running(), qt.Equals, 1)
-		for _, engine := range b.d.Cloud.Engines() {
+		for _, engine := range b.d.StandIns.Engines() {
 			engine.Faults.Set(faults.State{Paused: true})
 		}
 		cancel()
@@ -143,7 +143,7 @@
 		var before int
 		b.holds(b.replayDay("ndiaye-day", func() {
 			time.Sleep(14 * time.Second)
-			b.d.Cloud.Fleet.ReclaimZone("hall-nord", vmlist.RoleBackend, 20*time.Second)
+			b.d.StandIns.Fleet.ReclaimZone("hall-nord", vmlist.RoleBackend, 20*time.Second)
 			time.Sleep(100 * time.Millisecond)
 			before = b.startedIn("hall-nord")
 			time.Sleep(15 * time.Second)
@@ -156,8 +156,8 @@
 // startedIn returns the number of attempts begun on the engines of a zone.
 func (b *bed) startedIn(zone string) int {
 	total := 0
-	for _, vm := range b.d.Cloud.Fleet.Members() {
-		if engine := b.d.Cloud.Engine(vm.ID); engine != nil && vm.Zone == zone {
+	for _, vm := range b.d.StandIns.Fleet.Members() {
+		if engine := b.d.StandIns.Engine(vm.ID); engine != nil && vm.Zone == zone {
 			total += engine.Started()
 		}
 	}
@@ -170,7 +170,7 @@
 	run(t, "ndiaye", func(b *bed) {
 		r, cancel := b.stream(http.MethodPost, balancerURL+"/v1/chat/completions", "devis", chatBody)
 		r.tokens(1)
-		for _, engine := range b.d.Cloud.Engines() {
+		for _, engine := range b.d.StandIns.Engines() {
 			engine.Faults.Set(faults.State{Paused: true})
 		}
 		limits := config.DefaultSettings().Limits
@@ -188,9 +188,9 @@
 		r, cancel := b.stream(http.MethodPost, balancerURL+"/v1/chat/completions", "devis", chatBody)
 		defer cancel()
 		r.tokens(5)
-		for _, vm := range b.d.Cloud.Fleet.Members() {
+		for _, vm := range b.d.StandIns.Fleet.Members() {
 			if vm.Service == "modele-devis" && vm.Zone != "hall-sud" {
-				b.d.Cloud.Fleet.Kill(vm.ID)
+				b.d.StandIns.Fleet.Kill(vm.ID)
 			}
 		}
 		r.tokens(-1)
@@ -206,28 +206,28 @@
 			resp, body := b.call(http.MethodPost, balancerURL+"/services/app-carriere/orders", "commandes", `{}`, "X-Reference", reference)
 			return resp.StatusCode, body
 		}
-		for _, server := range b.d.Cloud.PlainServers() {
+		for _, server := range b.d.StandIns.PlainServers() {
 			server.Faults.Set(faults.State{LoseAnswers: 1})
 		}
 		status, body := order("lost")
 		b.Check(status, qt.Equals, http.StatusGatewayTimeout)
 		b.Check(body, qt.Contains, `"outcome":"unknown"`)
-		b.Check(b.d.Cloud.Ledgers["app-carriere"].Runs()["lost"], qt.Equals, 1)
+		b.Check(b.d.StandIns.Ledgers["app-carriere"].Runs()["lost"], qt.Equals, 1)
 
 		// Idempotent calls are sent again and answered.
 		resp, _ := b.call(http.MethodPost, balancerURL+"/services/app-carriere/weighings", "pesee", `{}`, "X-Reference", "weighing")
 		b.Check(resp.StatusCode, qt.Equals, http.StatusOK)
 
-		for _, vm := range b.d.Cloud.Fleet.Members() {
+		for _, vm := range b.d.StandIns.Fleet.Members() {
 			if vm.Role == vmlist.RoleBackend && vm.Service == "app-carriere" {
-				b.d.Cloud.Fleet.Kill(vm.ID)
+				b.d.StandIns.Fleet.Kill(vm.ID)
 			}
 		}
 		time.Sleep(2 * time.Second)
 		status, body = order("nobody")
 		b.Check(status, qt.Equals, http.StatusServiceUnavailable)
 		b.Check(body, qt.Contains, `"outcome":"not-run"`)
-		b.Check(b.d.Cloud.Ledgers["app-carriere"].Runs()["nobody"], qt.Equals, 0)
+		b.Check(b.d.StandIns.Ledgers["app-carriere"].Runs()["nobody"], qt.Equals, 0)
 	})
 }
 
--- a/robustness/ending_test.go
+++ b/robustness/ending_test.go
@@ -80,7 +80,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				reached := &reaches{}
 				b := startWith(t, dev.Options{
-					Example: "ndiaye", Logger: slog.New(slog.NewTextHandler(logOutput(), nil)), ListLag: time.Second, Ends: reached.ends,
+					Example: "ndiaye", Logger: slog.New(slog.NewTextHandler(logOutput(), nil)), ListLag: time.Second, CrashesOn: reached.ends,
 					OnViolation: func(err error) { t.Errorf("invariant violated: %v", err) },
 				})
 				playEnding(b, ask)
--- a/robustness/entry_test.go
+++ b/robustness/entry_test.go
@@ -24,8 +24,8 @@
 					summary := b.replayDay(example+"-day", func() {
 						time.Sleep(15 * time.Second)
 						inZone = b.inFlightIn(zone)
-						b.d.Cloud.Fleet.ReclaimZone(zone, vmlist.RoleEntry, notice)
-						b.d.Cloud.Fleet.ReclaimZone(zone, vmlist.RoleBackend, notice)
+						b.d.StandIns.Fleet.ReclaimZone(zone, vmlist.RoleEntry, notice)
+						b.d.StandIns.Fleet.ReclaimZone(zone, vmlist.RoleBackend, notice)
 					})
 					b.holds(summary)
 					b.Logf("%d requests at the zone's daemons when the notice came; %d of %d answers were asked for again, %d lost",
@@ -96,7 +96,7 @@
 
 // pauseEngines holds every engine for a while, so that streams are long.
 func (b *bed) pauseEngines(paused bool) {
-	for _, engine := range b.d.Cloud.Engines() {
+	for _, engine := range b.d.StandIns.Engines() {
 		engine.Faults.Set(faults.State{Paused: paused})
 	}
 }
@@ -108,7 +108,7 @@
 		r, cancel := b.stream(http.MethodPost, balancerURL+"/v1/chat/completions", "devis", chatBody)
 		defer cancel()
 		r.tokens(20) // half a second: the copy has been made
-		b.d.Cloud.Fleet.Kill(b.owner(r.id()).Daemon.VM().ID)
+		b.d.StandIns.Fleet.Kill(b.owner(r.id()).Daemon.VM().ID)
 		r.tokens(-1)
 		b.Assert(r.done, qt.IsFalse)
 		b.Assert(b.finish(r), qt.Equals, want)
@@ -143,7 +143,7 @@
 		r, cancel := b.stream(http.MethodPost, balancerURL+"/v1/chat/completions", "devis", chatBody)
 		defer cancel()
 		r.tokens(20)
-		b.d.Cloud.Fleet.Kill(b.owner(r.id()).Daemon.VM().ID)
+		b.d.StandIns.Fleet.Kill(b.owner(r.id()).Daemon.VM().ID)
 		time.Sleep(5 * time.Second)
 		url := balancerURL + "/v1/requests/" + r.id() + "/response"
 		resp, body := b.call(http.MethodGet, url, "devis", "", "Last-Event-ID", r.last)
@@ -163,7 +163,7 @@
 		r.tokens(20)
 		b.pauseEngines(true)
 		for _, node := range []*dev.Node{b.backup(), b.owner(r.id())} {
-			b.d.Cloud.Fleet.Reclaim(node.Daemon.VM().ID, 3*time.Second)
+			b.d.StandIns.Fleet.Reclaim(node.Daemon.VM().ID, 3*time.Second)
 		}
 		r.tokens(-1)
 		b.Assert(r.moved, qt.IsTrue)
@@ -181,12 +181,12 @@
 		defer cancel()
 		r.tokens(15)
 		b.pauseEngines(true)
-		b.d.Cloud.Fleet.Kill(b.backup().Daemon.VM().ID)
+		b.d.StandIns.Fleet.Kill(b.backup().Daemon.VM().ID)
 		b.pauseEngines(false)
 		r.tokens(25)
 		b.pauseEngines(true)
 		time.Sleep(3 * time.Second)
-		b.d.Cloud.Fleet.Kill(b.owner(r.id()).Daemon.VM().ID)
+		b.d.StandIns.Fleet.Kill(b.owner(r.id()).Daemon.VM().ID)
 		b.pauseEngines(false)
 		r.tokens(-1)
 		b.Assert(b.finish(r), qt.Equals, want)
@@ -200,7 +200,7 @@
 			`{"model":"plankridge-llm","messages":[{"role":"user","content":"Review chapter 3."}]}`, "Prefer", "respond-async")
 		b.Assert(resp.StatusCode, qt.Equals, http.StatusAccepted)
 		location := resp.Header.Get("Location")
-		b.d.Cloud.Fleet.Kill(b.owner(location[len("/v1/requests/"):]).Daemon.VM().ID)
+		b.d.StandIns.Fleet.Kill(b.owner(location[len("/v1/requests/"):]).Daemon.VM().ID)
 		time.Sleep(5 * time.Second)
 		resp, body := b.call(http.MethodGet, balancerURL+location+"/response", "reviews", "")
 		b.Assert(resp.StatusCode, qt.Equals, http.StatusOK, qt.Commentf("%s", body))
@@ -210,7 +210,7 @@
 
 // slowOrder sends an order that takes eight seconds and returns its ID.
 func (b *bed) slowOrder(reference string) string {
-	for _, server := range b.d.Cloud.PlainServers() {
+	for _, server := range b.d.StandIns.PlainServers() {
 		server.Faults.Set(faults.State{Delay: 8 * time.Second})
 	}
 	resp, _ := b.call(http.MethodPost, balancerURL+"/services/app-carriere/orders", "commandes", `{}`,
@@ -226,12 +226,12 @@
 		id := b.slowOrder("o-1")
 		time.Sleep(time.Second)
 		b.Assert(b.backup().Daemon.Copies(), qt.Equals, 1)
-		b.d.Cloud.Fleet.Kill(b.owner(id).Daemon.VM().ID)
+		b.d.StandIns.Fleet.Kill(b.owner(id).Daemon.VM().ID)
 		time.Sleep(20 * time.Second)
 		resp, body := b.call(http.MethodGet, balancerURL+"/v1/requests/"+id+"/response", "commandes", "")
 		b.Check(resp.StatusCode, qt.Equals, http.StatusGatewayTimeout, qt.Commentf("%s", body))
 		b.Check(body, qt.Contains, `"outcome":"unknown"`)
-		b.Check(b.d.Cloud.Ledgers["app-carriere"].Runs()["o-1"] <= 1, qt.IsTrue)
+		b.Check(b.d.StandIns.Ledgers["app-carriere"].Runs()["o-1"] <= 1, qt.IsTrue)
 	})
 }
 
@@ -239,14 +239,14 @@
 // waits for, and that outlasts the notice.
 func TestWaitingCallerIsSentToResult(t *testing.T) {
 	run(t, "ndiaye", func(b *bed) {
-		for _, server := range b.d.Cloud.PlainServers() {
+		for _, server := range b.d.StandIns.PlainServers() {
 			server.Faults.Set(faults.State{Delay: 8 * time.Second})
 		}
 		go func() {
 			time.Sleep(time.Second)
 			for _, node := range b.d.Nodes {
 				if node.Daemon.InFlight() > 0 {
-					b.d.Cloud.Fleet.Reclaim(node.Daemon.VM().ID, 4*time.Second)
+					b.d.StandIns.Fleet.Reclaim(node.Daemon.VM().ID, 4*time.Second)
 				}
 			}
 		}()
@@ -257,7 +257,7 @@
 		resp, body := b.call(http.MethodGet, balancerURL+resp.Header.Get("Location"), "commandes", "")
 		b.Check(body, qt.Contains, `"outcome":"unknown"`)
 		b.Check(resp.StatusCode, qt.Equals, http.StatusGatewayTimeout)
-		b.Check(b.d.Cloud.Ledgers["app-carriere"].Runs()["o-3"] <= 1, qt.IsTrue)
+		b.Check(b.d.StandIns.Ledgers["app-carriere"].Runs()["o-3"] <= 1, qt.IsTrue)
 	})
 }
 
@@ -269,7 +269,7 @@
 		keeper := b.backup()
 		for _, node := range b.d.Nodes {
 			if node != keeper && !node.Daemon.Owns(id) {
-				b.d.Cloud.Fleet.Kill(node.Daemon.VM().ID)
+				b.d.StandIns.Fleet.Kill(node.Daemon.VM().ID)
 				break
 			}
 		}
@@ -285,26 +285,26 @@
 func TestQueuedOrderMovesWithItsOwner(t *testing.T) {
 	run(t, "ndiaye", func(b *bed) {
 		var backends []string
-		for _, vm := range b.d.Cloud.Fleet.Members() {
+		for _, vm := range b.d.StandIns.Fleet.Members() {
 			if vm.Service == "app-carriere" {
 				backends = append(backends, vm.ID)
 			}
 		}
 		// The servers are dead, and the VM list does not tell yet.
 		for _, id := range backends {
-			b.d.Cloud.Fleet.Kill(id)
+			b.d.StandIns.Fleet.Kill(id)
 		}
 		resp, _ := b.call(http.MethodPost, balancerURL+"/services/app-carriere/orders", "commandes", `{}`,
 			"X-Reference", "o-5", "Prefer", "respond-async")
 		b.Assert(resp.StatusCode, qt.Equals, http.StatusAccepted)
 		id := resp.Header.Get("Plankridge-Request-Id")
-		b.d.Cloud.Fleet.Reclaim(b.owner(id).Daemon.VM().ID, 3*time.Second)
+		b.d.StandIns.Fleet.Reclaim(b.owner(id).Daemon.VM().ID, 3*time.Second)
 		time.Sleep(5 * time.Second)
-		_, err := b.d.Cloud.Fleet.Start(cloud.StartOrder{OrderID: "new", Zone: "hall-sud", Class: "app-small", Service: "app-carriere"})
+		_, err := b.d.StandIns.Fleet.Start(cloud.StartOrder{OrderID: "new", Zone: "hall-sud", Class: "app-small", Service: "app-carriere"})
 		b.Assert(err, qt.IsNil)
 		resp, body := b.call(http.MethodGet, balancerURL+"/v1/requests/"+id+"/response", "commandes", "")
 		b.Check(resp.StatusCode, qt.Equals, http.StatusOK, qt.Commentf("%s", body))
-		b.Check(b.d.Cloud.Ledgers["app-carriere"].Runs()["o-5"], qt.Equals, 1)
+		b.Check(b.d.StandIns.Ledgers["app-carriere"].Runs()["o-5"], qt.Equals, 1)
 	})
 }
 
@@ -313,11 +313,11 @@
 func TestOrderOfReclaimedOwnerIsAnswered(t *testing.T) {
 	run(t, "ndiaye", func(b *bed) {
 		id := b.slowOrder("o-2")
-		b.d.Cloud.Fleet.Reclaim(b.owner(id).Daemon.VM().ID, 9*time.Second)
+		b.d.StandIns.Fleet.Reclaim(b.owner(id).Daemon.VM().ID, 9*time.Second)
 		time.Sleep(20 * time.Second)
 		resp, body := b.call(http.MethodGet, balancerURL+"/v1/requests/"+id+"/response", "commandes", "")
 		b.Check(resp.StatusCode, qt.Equals, http.StatusOK, qt.Commentf("%s", body))
-		b.Check(b.d.Cloud.Ledgers["app-carriere"].Runs()["o-2"], qt.Equals, 1)
+		b.Check(b.d.StandIns.Ledgers["app-carriere"].Runs()["o-2"], qt.Equals, 1)
 	})
 }
 
@@ -349,8 +349,8 @@
 					readers = append(readers, r)
 				}
 				b.pauseEngines(true)
-				b.d.Cloud.Fleet.ReclaimZone("hall-nord", vmlist.RoleEntry, notice)
-				b.d.Cloud.Fleet.ReclaimZone("hall-nord", vmlist.RoleBackend, notice)
+				b.d.StandIns.Fleet.ReclaimZone("hall-nord", vmlist.RoleEntry, notice)
+				b.d.StandIns.Fleet.ReclaimZone("hall-nord", vmlist.RoleBackend, notice)
 				time.Sleep(notice + time.Second)
 				b.pauseEngines(false)
 				unbroken, moved := 0, 0
--- a/robustness/history_test.go
+++ b/robustness/history_test.go
@@ -142,7 +142,7 @@
 	b.Check(err, qt.IsNil)
 	time.Sleep(15 * time.Second)
 	close(stop)
-	runs := b.d.Cloud.Ledgers["app-carriere"].Runs()
+	runs := b.d.StandIns.Ledgers["app-carriere"].Runs()
 	for i := range trace.Entries {
 		entry := &trace.Entries[i]
 		r.judge(entry, results[entry.ID], runs[entry.Reference], h.brutal())
@@ -260,19 +260,19 @@
 	case refuseEngine:
 		b.during(engineSwitches(b, f.On), faults.State{Refuse: true}, span)
 	case crossAnswers:
-		for _, engine := range b.d.Cloud.Engines() {
+		for _, engine := range b.d.StandIns.Engines() {
 			b.during(&engine.Faults, faults.State{CrossEvery: 1 + f.On%5}, span)
 		}
 	case loseAnswer:
-		servers := b.d.Cloud.PlainServers()
+		servers := b.d.StandIns.PlainServers()
 		servers[f.On%len(servers)].Faults.Set(faults.State{LoseAnswers: 1 + f.On%3})
 	case delayService:
-		servers := b.d.Cloud.PlainServers()
+		servers := b.d.StandIns.PlainServers()
 		b.during(&servers[f.On%len(servers)].Faults, faults.State{Delay: 3 * time.Second}, span)
 	case storeOutage:
-		b.during(&b.d.Cloud.Store.Faults, faults.State{Outage: true}, span)
+		b.during(&b.d.StandIns.Store.Faults, faults.State{Outage: true}, span)
 	case listOutage:
-		b.during(&b.d.Cloud.Fleet.ListFaults, faults.State{Outage: true}, span)
+		b.during(&b.d.StandIns.Fleet.ListFaults, faults.State{Outage: true}, span)
 	case cutDaemons:
 		b.cutFor(f.On, span)
 	case applyAgain:
@@ -281,8 +281,8 @@
 }
 
 func engineSwitches(b *bed, on int) *faults.Switches {
-	for _, vm := range b.d.Cloud.Fleet.Members() {
-		if engine := b.d.Cloud.Engine(vm.ID); engine != nil {
+	for _, vm := range b.d.StandIns.Fleet.Members() {
+		if engine := b.d.StandIns.Engine(vm.ID); engine != nil {
 			if on--; on < 0 {
 				return &engine.Faults
 			}
@@ -317,18 +317,18 @@
 	node := live[on%len(live)]
 	switch kind {
 	case reclaimEntry:
-		b.d.Cloud.Fleet.Reclaim(node.Daemon.VM().ID, notice)
+		b.d.StandIns.Fleet.Reclaim(node.Daemon.VM().ID, notice)
 	case drainEntry:
 		node.Drain()
 	default:
-		b.d.Cloud.Fleet.Kill(node.Daemon.VM().ID)
+		b.d.StandIns.Fleet.Kill(node.Daemon.VM().ID)
 	}
 }
 
 // happenToBackend hits a backend server, unless its service has only one left.
 func (b *bed) happenToBackend(kind faultKind, on int, notice time.Duration) {
 	byService := map[string][]vmlist.VM{}
-	for _, vm := range b.d.Cloud.Fleet.Members() {
+	for _, vm := range b.d.StandIns.Fleet.Members() {
 		if vm.Role == vmlist.RoleBackend && vm.State == vmlist.VMLive {
 			byService[vm.Service] = append(byService[vm.Service], vm)
 		}
@@ -338,10 +338,10 @@
 		return
 	}
 	if kind == reclaimBackend {
-		b.d.Cloud.Fleet.Reclaim(live[on%len(live)].ID, notice)
+		b.d.StandIns.Fleet.Reclaim(live[on%len(live)].ID, notice)
 		return
 	}
-	b.d.Cloud.Fleet.Kill(live[on%len(live)].ID)
+	b.d.StandIns.Fleet.Kill(live[on%len(live)].ID)
 }
 
 // cutFor cuts two daemons from each other.
--- a/robustness/keys_test.go
+++ b/robustness/keys_test.go
@@ -32,7 +32,7 @@
 }
 
 func (b *bed) runs(reference string) int {
-	return b.d.Cloud.Ledgers["app-carriere"].Runs()[reference]
+	return b.d.StandIns.Ledgers["app-carriere"].Runs()[reference]
 }
 
 // until repeats a keyed order until it has the wanted status.
@@ -98,7 +98,7 @@
 
 func TestKeyOutlivesItsHolder(t *testing.T) {
 	for name, end := range map[string]func(b *bed, node *dev.Node){
-		"killed":  func(b *bed, node *dev.Node) { b.d.Cloud.Fleet.Kill(node.Daemon.VM().ID) },
+		"killed":  func(b *bed, node *dev.Node) { b.d.StandIns.Fleet.Kill(node.Daemon.VM().ID) },
 		"drained": func(b *bed, node *dev.Node) { node.Drain(); b.Check(node.Wait(), qt.IsNil) },
 		"crashed and restarted": func(b *bed, node *dev.Node) {
 			node.Kill()
@@ -106,9 +106,9 @@
 			_, err := b.d.StartNode(vm.ID, vm.Zone, node.Host)
 			b.Check(err, qt.IsNil)
 		},
-		"reclaimed": func(b *bed, node *dev.Node) { b.d.Cloud.Fleet.Reclaim(node.Daemon.VM().ID, 3*time.Second) },
+		"reclaimed": func(b *bed, node *dev.Node) { b.d.StandIns.Fleet.Reclaim(node.Daemon.VM().ID, 3*time.Second) },
 		"zone gone": func(b *bed, node *dev.Node) {
-			b.d.Cloud.Fleet.ReclaimZone(node.Daemon.VM().Zone, vmlist.RoleEntry, 3*time.Second)
+			b.d.StandIns.Fleet.ReclaimZone(node.Daemon.VM().Zone, vmlist.RoleEntry, 3*time.Second)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -130,7 +130,7 @@
 // TestKeyOfDeadHolderIsNotRunAgain kills the holder between intent and answer.
 func TestKeyOfDeadHolderIsNotRunAgain(t *testing.T) {
 	runKeyed(t, func(b *bed) {
-		for _, server := range b.d.Cloud.PlainServers() {
+		for _, server := range b.d.StandIns.PlainServers() {
 			server.Faults.Set(faults.State{Delay: 8 * time.Second})
 		}
 		resp, _ := b.call(http.MethodPost, balancerURL+ordersURL, "commandes", `{"blocks":2}`,
@@ -139,7 +139,7 @@
 		time.Sleep(time.Second)
 		again, _ := b.keyed(balancerURL, "k-3", "dead", `{"blocks":2}`)
 		b.Check(again.StatusCode, qt.Equals, http.StatusConflict)
-		b.d.Cloud.Fleet.Kill(b.holder(resp).Daemon.VM().ID)
+		b.d.StandIns.Fleet.Kill(b.holder(resp).Daemon.VM().ID)
 		_, body := b.until(http.StatusGatewayTimeout, "k-3", "dead")
 		b.Check(body, qt.Contains, `"outcome":"unknown"`)
 		time.Sleep(20 * time.Second)
@@ -152,12 +152,12 @@
 func TestKeyIsKeptWhileStoreIsAway(t *testing.T) {
 	runKeyed(t, func(b *bed) {
 		time.Sleep(20 * time.Second) // until every daemon has enrolled
-		b.d.Cloud.Store.Faults.Set(faults.State{Outage: true})
+		b.d.StandIns.Store.Faults.Set(faults.State{Outage: true})
 		resp, answer := b.keyed(balancerURL, "k-4", "outage", `{"blocks":2}`)
 		b.Assert(resp.StatusCode, qt.Equals, http.StatusOK, qt.Commentf("%s", answer))
-		b.d.Cloud.Fleet.Kill(b.holder(resp).Daemon.VM().ID)
+		b.d.StandIns.Fleet.Kill(b.holder(resp).Daemon.VM().ID)
 		time.Sleep(5 * time.Second)
-		b.d.Cloud.Store.Faults.Set(faults.State{})
+		b.d.StandIns.Store.Faults.Set(faults.State{})
 		resp, body := b.until(http.StatusGatewayTimeout, "k-4", "outage")
 		b.Check(body, qt.Contains, `"outcome":"unknown"`, qt.Commentf("%d", resp.StatusCode))
 		b.Check(b.runs("outage"), qt.Equals, 1)
@@ -192,8 +192,8 @@
 // TestIntentsAreCommittedInGroups counts the writes of a burst.
 func TestIntentsAreCommittedInGroups(t *testing.T) {
 	runKeyed(t, func(b *bed) {
-		b.d.Cloud.Store.Faults.Set(faults.State{Delay: 20 * time.Millisecond})
-		before := b.d.Cloud.Store.Calls().Writes.Load()
+		b.d.StandIns.Store.Faults.Set(faults.State{Delay: 20 * time.Millisecond})
+		before := b.d.StandIns.Store.Calls().Writes.Load()
 		var sending sync.WaitGroup
 		const burst = 40
 		for i := range burst {
@@ -205,7 +205,7 @@
 		}
 		sending.Wait()
 		time.Sleep(5 * time.Second)
-		writes := b.d.Cloud.Store.Calls().Writes.Load() - before
+		writes := b.d.StandIns.Store.Calls().Writes.Load() - before
 		b.Logf("%d orders, %d writes for intents and ends", burst, writes)
 		b.Check(writes < burst, qt.IsTrue, qt.Commentf("%d writes", writes))
 	})
--- a/robustness/path_test.go
+++ b/robustness/path_test.go
@@ -40,7 +40,7 @@
 			run(t, "ndiaye", func(b *bed) {
 				b.holds(b.replayDay("ndiaye-day", func() {
 					time.Sleep(14 * time.Second)
-					b.d.Cloud.Fleet.ReclaimZone("hall-nord", vmlist.RoleBackend, notice)
+					b.d.StandIns.Fleet.ReclaimZone("hall-nord", vmlist.RoleBackend, notice)
 				}))
 			})
 		})
--- a/robustness/process_test.go
+++ b/robustness/process_test.go
@@ -49,7 +49,7 @@
 	c.Assert(err, qt.IsNil)
 	wanted, err := config.Load(sample)
 	c.Assert(err, qt.IsNil)
-	p.standIns, err = dev.StartStandIns(wanted, dev.Options{Plane: dev.Loopback{}, ListLag: 500 * time.Millisecond})
+	p.standIns, err = dev.StartStandIns(wanted, dev.Options{Hosts: dev.Loopback{}, ListLag: 500 * time.Millisecond})
 	c.Assert(err, qt.IsNil)
 	t.Cleanup(p.standIns.Close)
 	for z, zone := range wanted.Zones {
--- a/robustness/redirect_test.go
+++ b/robustness/redirect_test.go
@@ -14,7 +14,7 @@
 	run(t, "ndiaye", func(b *bed) {
 		id := b.slowOrder("o-6") // keeps its owner until the deadline
 		node := b.owner(id)
-		b.d.Cloud.Fleet.Reclaim(node.Daemon.VM().ID, 4*time.Second)
+		b.d.StandIns.Fleet.Reclaim(node.Daemon.VM().ID, 4*time.Second)
 		time.Sleep(2600 * time.Millisecond)
 		b.client.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 		resp, body := b.call(http.MethodPost, "http://"+node.Daemon.CallerAddress()+"/services/app-carriere/weighings", "pesee", `{}`)
