--- a/internal/callerapi/answer.go
+++ b/internal/callerapi/answer.go
@@ -15,8 +15,9 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// findRequest returns a request of the caller's workspace, here or at a peer. One of
-// another workspace looks like one that does not exist.
+// findRequest returns the source and status of the request in the URL, which this
+// daemon or a peer may hold. A request of another workspace is reported as not
+// found, so that its existence is not disclosed.
 func (a *API) findRequest(c echo.Context) (dispatch.Source, dispatch.Status, error) {
 	call, err := a.authenticate(c)
 	if err != nil {
@@ -55,7 +56,7 @@
 	return a.options.Locator.Locate(ctx, id)
 }
 
-// stateBody is the answer of GET /v1/requests/{id}.
+// stateBody is the response body of GET /v1/requests/{id}.
 type stateBody struct {
 	ID       request.ID      `json:"id"`
 	Service  string          `json:"service"`
@@ -99,8 +100,8 @@
 		spec.Stream = true
 	}
 	var from request.Position
-	if last := c.Request().Header.Get("Last-Event-ID"); last != "" {
-		from, err = request.ParsePosition(last)
+	if lastEventID := c.Request().Header.Get("Last-Event-ID"); lastEventID != "" {
+		from, err = request.ParsePosition(lastEventID)
 		if err != nil {
 			return newProblem(http.StatusBadRequest, status.Outcome, "Last-Event-ID: "+err.Error()).Err()
 		}
@@ -112,7 +113,8 @@
 	return a.answer(c, source, &spec, from.Offset)
 }
 
-// answer sends the answer of a request in the form that its kind has.
+// answer sends the response of a request in the format of its kind. A stream
+// resumes after the first after tokens.
 func (a *API) answer(c echo.Context, source dispatch.Source, spec *request.Spec, after int) error {
 	switch {
 	case spec.Kind == request.KindPlain:
@@ -123,7 +125,8 @@
 	return a.answerJSON(c, source, spec)
 }
 
-// readAnswer reads an answer to its end. The error is the problem to answer with.
+// readAnswer reads an answer to its end and returns its text and last event. The
+// error holds the problem to respond with.
 func readAnswer(ctx context.Context, source dispatch.Source, spec *request.Spec) (string, dispatch.Event, error) {
 	var text strings.Builder
 	var last dispatch.Event
@@ -152,7 +155,7 @@
 	return writePlain(c, last.Plain)
 }
 
-// writePlain sends the answer of a plain service.
+// writePlain sends the response of a plain service to the caller.
 func writePlain(c echo.Context, answer *request.PlainAnswer) error {
 	header := c.Response().Header()
 	for name, values := range endToEndHeaders(answer.Header) {
@@ -163,8 +166,8 @@
 	return err
 }
 
-// writeSeeOther sends a waiting caller to the place of its answer, where any daemon
-// serves it.
+// writeSeeOther redirects a waiting caller to the URL of its response, which any
+// daemon can serve.
 func writeSeeOther(c echo.Context, id request.ID) error {
 	c.Response().Header().Set("Location", responsePath(id))
 	return c.NoContent(http.StatusSeeOther)
@@ -174,8 +177,8 @@
 	return "/v1/requests/" + string(id) + "/response"
 }
 
-// readError is the problem of an answer that could not be read. The request
-// itself may go on.
+// readError returns the error for an answer that could not be read. The request
+// itself may still be running.
 func readError(spec *request.Spec, err error) error {
 	if errors.Is(err, context.Canceled) {
 		return err
@@ -185,7 +188,8 @@
 	return p.Err()
 }
 
-// extendWriteDeadline allows the next write its time.
+// extendWriteDeadline sets the connection's write deadline to WriteTimeout from
+// now.
 func (a *API) extendWriteDeadline(c echo.Context) {
 	deadline := time.Now().Add(a.options.Limits.WriteTimeout.Std())
 	_ = http.NewResponseController(c.Response().Writer).SetWriteDeadline(deadline)
@@ -232,7 +236,7 @@
 	}
 }
 
-// objectName names the wire object of a request's answer.
+// objectName returns the OpenAI "object" value for the response of a request.
 func objectName(spec *request.Spec) string {
 	switch {
 	case spec.Kind == request.KindCompletion:
@@ -261,19 +265,19 @@
 	if last.Moved {
 		return writeSeeOther(c, spec.ID)
 	}
-	only := choice{FinishReason: &last.Finish.Reason}
+	single := choice{FinishReason: &last.Finish.Reason}
 	if spec.Kind == request.KindChat {
-		only.Message = &chatMessage{Role: "assistant", Content: text}
+		single.Message = &chatMessage{Role: "assistant", Content: text}
 	} else {
-		only.Text = &text
+		single.Text = &text
 	}
-	body := newCompletion(spec, only)
+	body := newCompletion(spec, single)
 	body.Usage = newUsage(last.Finish)
 	return c.JSON(http.StatusOK, body)
 }
 
-// answerStream sends the answer as server-sent events. The ID of an event is
-// the number of tokens up to and including it.
+// answerStream sends the answer as server-sent events. The ID of an event holds
+// the run and the number of tokens up to and including the event.
 func (a *API) answerStream(c echo.Context, source dispatch.Source, spec *request.Spec, after int) error {
 	header := c.Response().Header()
 	header.Set("Content-Type", "text/event-stream")
@@ -291,7 +295,7 @@
 	return nil
 }
 
-// eventStream writes the events of one answer.
+// eventStream writes one answer as server-sent events.
 type eventStream struct {
 	api         *API
 	c           echo.Context
@@ -339,8 +343,8 @@
 	return s.write("data: [DONE]\n\n")
 }
 
-// writeMoved ends a stream that goes on at the place of its answer. The caller
-// reconnects there with the ID of the last event.
+// writeMoved ends a stream whose request has moved to another daemon. The caller
+// reconnects to the given location with the ID of the last event.
 func (s *eventStream) writeMoved(offset int) error {
 	raw, err := json.Marshal(map[string]string{"location": responsePath(s.spec.ID)})
 	if err != nil {
@@ -349,7 +353,7 @@
 	return s.write("event: moved\nid: " + s.eventID(offset) + "\ndata: " + string(raw) + "\n\n")
 }
 
-// writeProblem ends a stream without its last event.
+// writeProblem ends a stream with an error event instead of its final event.
 func (s *eventStream) writeProblem(p *problem) {
 	raw, err := json.Marshal(p)
 	if err == nil {
--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -1,6 +1,5 @@
-// Package callerapi is the HTTP API for callers: the OpenAI wire format for
-// models, plain services below /services, and the state and answer of
-// requests.
+// Package callerapi implements the HTTP API for callers: models in the OpenAI wire
+// format, plain services under /services, and the state and response of requests.
 package callerapi
 
 import (
@@ -23,19 +22,20 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// Locator finds requests that other daemons hold.
+// Locator finds requests that are held by other daemons.
 type Locator interface {
-	// Locate returns dispatch.ErrNotFound when no daemon holds the request.
+	// Locate returns dispatch.ErrNotFound if no daemon holds the request.
 	Locate(ctx context.Context, id request.ID) (dispatch.Source, error)
 }
 
 // KeyedSubmitter runs requests that carry an idempotency key.
 type KeyedSubmitter interface {
-	// Submit returns an error when the request may have been accepted.
+	// Submit returns an error if the outcome is not known: the request may have
+	// been accepted.
 	Submit(ctx context.Context, spec request.Spec) (keys.Result, error)
 }
 
-// Options are what the API works with.
+// Options configures an API.
 type Options struct {
 	Limits     config.RequestLimits
 	Dispatcher *dispatch.Dispatcher
@@ -44,11 +44,11 @@
 	Keys       KeyedSubmitter
 	Logger     *slog.Logger
 	Registerer prometheus.Registerer
-	// Ready reports whether the daemon can serve.
+	// Ready reports whether the daemon can accept requests.
 	Ready func() bool
 }
 
-// API serves callers.
+// API is the HTTP handler for callers.
 type API struct {
 	options  Options
 	refusals *prometheus.CounterVec
@@ -56,7 +56,7 @@
 	echo     *echo.Echo
 }
 
-// New returns the API.
+// New returns an API and registers its metrics.
 func New(options Options) *API {
 	a := &API{
 		options: options,
@@ -88,8 +88,8 @@
 // ServeHTTP implements http.Handler.
 func (a *API) ServeHTTP(w http.ResponseWriter, r *http.Request) { a.echo.ServeHTTP(w, r) }
 
-// Drain makes the API report itself as not ready and ask callers to open new
-// connections, while it goes on serving.
+// Drain makes the readiness endpoint report not ready and adds "Connection: close"
+// to all responses. The API keeps serving requests.
 func (a *API) Drain() { a.draining.Store(true) }
 
 func (a *API) ready(c echo.Context) error {
@@ -99,7 +99,8 @@
 	return c.String(http.StatusOK, "ready\n")
 }
 
-// setWriteDeadline allows an answer its time when it begins to be written.
+// setWriteDeadline is middleware that sets the write deadline when a response
+// starts.
 func (a *API) setWriteDeadline(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		c.Response().Before(func() { a.extendWriteDeadline(c) })
@@ -116,7 +117,7 @@
 	}
 }
 
-// handleError writes the problem document of an error.
+// handleError writes an error that a handler returned as a problem document.
 func (a *API) handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
@@ -130,24 +131,25 @@
 	case errors.As(err, &httpError):
 		p = refuse(httpError.Code, strings.ToLower(http.StatusText(httpError.Code)))
 	default:
-		a.options.Logger.Error("caller API failed", "error", err)
+		a.options.Logger.Error("caller API handler failed", "error", err)
 		p = newProblem(http.StatusInternalServerError, request.OutcomeUnknown, "internal error")
 	}
 	if p.Outcome == request.OutcomeNotRun {
 		a.refusals.WithLabelValues(http.StatusText(p.Status)).Inc()
 	}
 	if err := p.write(c); err != nil {
-		a.options.Logger.Debug("cannot write problem", "error", err)
+		a.options.Logger.Debug("cannot write problem response", "error", err)
 	}
 }
 
-// authenticatedCall is what every authenticated call needs.
+// authenticatedCall holds the caller's workspace and the configuration that the
+// call is served with.
 type authenticatedCall struct {
 	index     *config.Index
 	workspace *config.Workspace
 }
 
-// authenticate finds the workspace of the bearer key.
+// authenticate returns the workspace that the bearer key belongs to.
 func (a *API) authenticate(c echo.Context) (authenticatedCall, error) {
 	index := a.options.Follower.Index()
 	if index == nil {
@@ -170,28 +172,28 @@
 	return authenticatedCall{index: index, workspace: workspace}, nil
 }
 
-// service returns a service that the workspace may call. One that it may not
-// call looks like one that does not exist.
-func (k *authenticatedCall) service(name string, kind config.ServiceKind) (*config.Service, error) {
-	service := k.index.Service(name)
-	if service == nil || service.Kind != kind || !k.workspace.MayCall(name) {
+// service returns a service that the workspace may call. Any other service is
+// reported as not found, so that its existence is not disclosed.
+func (a *authenticatedCall) service(name string, kind config.ServiceKind) (*config.Service, error) {
+	service := a.index.Service(name)
+	if service == nil || service.Kind != kind || !a.workspace.MayCall(name) {
 		return nil, refuse(http.StatusNotFound, "no such "+string(kind)+": "+name).Err()
 	}
 	return service, nil
 }
 
-// spec returns the specification of a call.
-func (k *authenticatedCall) spec(c echo.Context, service *config.Service, path string) (request.Spec, error) {
-	route := k.index.Route(service, c.Request().Method, path)
+// spec returns the request specification of a call, without its kind and content.
+func (a *authenticatedCall) spec(c echo.Context, service *config.Service, path string) (request.Spec, error) {
+	route := a.index.Route(service, c.Request().Method, path)
 	spec := request.Spec{
-		Workspace: k.workspace.Name,
+		Workspace: a.workspace.Name,
 		Service:   service.Name,
 		Route:     route,
 		Class:     route.Class,
 		Async:     prefersAsync(c.Request().Header),
 	}
-	if word := c.Request().Header.Get(headerClass); word != "" {
-		if err := spec.Class.UnmarshalText([]byte(word)); err != nil {
+	if class := c.Request().Header.Get(headerClass); class != "" {
+		if err := spec.Class.UnmarshalText([]byte(class)); err != nil {
 			return spec, refuse(http.StatusBadRequest, headerClass+": "+err.Error()).Err()
 		}
 	}
@@ -209,7 +211,7 @@
 	return false
 }
 
-// submit hands a request to the dispatcher and answers it.
+// submit submits a request to the dispatcher and sends the response.
 func (a *API) submit(c echo.Context, spec request.Spec) error {
 	flight, refusal := a.options.Dispatcher.Submit(spec)
 	if refusal != nil {
@@ -222,9 +224,10 @@
 	return a.answer(c, flight, flight.Spec(), 0)
 }
 
-// refusalProblem returns the problem of a refused request. One that came on an
-// open connection after the daemon had stopped to take requests is sent to the
-// same place on a new connection, where the balancer finds another daemon.
+// refusalProblem returns the problem for a refused request. A request that arrives
+// on an open connection after the daemon stopped accepting requests is redirected
+// to the same URL. It also closes the connection, so that the balancer routes the
+// retry to another daemon.
 func refusalProblem(c echo.Context, refusal *dispatch.Refusal) *problem {
 	p := refuse(refusal.Status, refusal.Detail)
 	p.retryAfter = refusal.RetryAfter
@@ -236,7 +239,7 @@
 	return p
 }
 
-// writeAccepted answers 202 with the place of the answer.
+// writeAccepted responds with 202 and the URLs of the request's state and response.
 func writeAccepted(c echo.Context, id request.ID) error {
 	location := "/v1/requests/" + string(id)
 	c.Response().Header().Set("Location", location)
--- a/internal/callerapi/fuzz_test.go
+++ b/internal/callerapi/fuzz_test.go
@@ -14,7 +14,8 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// FuzzBody feeds the API any body. It is understood or refused as not run.
+// FuzzBody parses arbitrary bodies. Each must either parse into valid parameters
+// or be rejected with the outcome "not run".
 func FuzzBody(f *testing.F) {
 	f.Add(`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"x"}]}],"temperature":0.5}`)
 	f.Add(`{"model":"m","messages":[{"role":"user","content":null}],"max_tokens":-1}`)
@@ -28,12 +29,12 @@
 		if err != nil {
 			var refused problemError
 			if !errors.As(err, &refused) || refused.problem.Outcome != request.OutcomeNotRun {
-				t.Fatalf("refused with %v", err)
+				t.Fatalf("rejected with an error other than a problem with outcome not-run: %v", err)
 			}
 			return
 		}
-		if most := body.maxTokens(service); most < 1 || most > 100 {
-			t.Fatalf("limit of %d tokens", most)
+		if maxTokens := body.maxTokens(service); maxTokens < 1 || maxTokens > 100 {
+			t.Fatalf("max tokens = %d, want 1 to 100", maxTokens)
 		}
 		_ = chatPrompt(body.Messages)
 		for name, value := range parameters {
--- a/internal/callerapi/keyed.go
+++ b/internal/callerapi/keyed.go
@@ -12,16 +12,18 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// Headers of requests that carry an idempotency key.
+// Headers for requests with an idempotency key and their responses.
 const (
 	headerIdempotencyKey = "Idempotency-Key"
 	headerReplayed       = "Plankridge-Replayed"
 )
 
-// keyRetryAfter is the advice to a caller whose key's request has not ended.
+// keyRetryAfter is the Retry-After for a key whose home did not respond or whose
+// request has not ended.
 const keyRetryAfter = time.Second
 
-// submitKeyed submits a request at the home of its key and answers it.
+// submitKeyed submits a request to the home of its idempotency key and sends the
+// response.
 func (a *API) submitKeyed(c echo.Context, spec request.Spec) error {
 	result, err := a.options.Keys.Submit(c.Request().Context(), spec)
 	if err != nil {
@@ -42,8 +44,8 @@
 	return keyProblem(result).Err()
 }
 
-// keyProblem returns the problem of a request whose key was used before, or
-// that was refused.
+// keyProblem returns the problem for a request whose key was used before or that
+// was refused.
 func keyProblem(result keys.Result) *problem {
 	switch result.Verdict {
 	case keys.VerdictInFlight:
@@ -66,7 +68,8 @@
 	return p
 }
 
-// answerKeyed answers a request that runs here or at the home of its key.
+// answerKeyed sends the response of a request that runs on this daemon or at the
+// home of its key.
 func (a *API) answerKeyed(c echo.Context, spec request.Spec, id request.ID) error {
 	if spec.Async {
 		return writeAccepted(c, id)
--- a/internal/callerapi/models.go
+++ b/internal/callerapi/models.go
@@ -12,14 +12,14 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// adapterSeparator stands between a service and its adapter in a model name.
+// adapterSeparator separates the service from the adapter in a model name.
 const adapterSeparator = ":"
 
-// tierFlex is the service tier by which OpenAI clients ask for cheap, slow
-// work.
+// tierFlex is the service tier with which OpenAI clients request cheaper, slower
+// processing. It maps to the deferrable class.
 const tierFlex = "flex"
 
-// modelEntry is one entry of GET /v1/models.
+// modelEntry is one entry in the response of GET /v1/models.
 type modelEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -27,7 +27,8 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists the models and adapters that the workspace may call.
+// models handles GET /v1/models: it lists the models and adapters that the
+// workspace may call.
 func (a *API) models(c echo.Context) error {
 	call, err := a.authenticate(c)
 	if err != nil {
@@ -49,8 +50,8 @@
 	return c.JSON(http.StatusOK, map[string]any{"object": "list", "data": entries})
 }
 
-// generateBody is the part of a chat or completion body that this API reads.
-// Every other member is passed on to the engine.
+// generateBody holds the members of a chat or completion body that this API
+// interprets. All other members are passed on to the engine unchanged.
 type generateBody struct {
 	Model               string          `json:"model"`
 	Messages            []message       `json:"messages"`
@@ -63,7 +64,7 @@
 	ServiceTier         string          `json:"service_tier"`
 }
 
-// knownMembers are the members of generateBody.
+// knownMembers are the JSON names of the fields of generateBody.
 var knownMembers = []string{"model", "messages", "prompt", "stream", "stream_options",
 	"max_tokens", "max_completion_tokens", "n", "service_tier"}
 
@@ -76,10 +77,12 @@
 	Content content `json:"content"`
 }
 
-// content is the text of a message, given as a text or as a list of parts.
+// content is the text of a message. In JSON it is a string or a list of text
+// parts.
 type content string
 
-// UnmarshalJSON accepts a text, null, or a list of text parts.
+// UnmarshalJSON accepts a string, null, or a list of text parts, which it
+// concatenates.
 func (t *content) UnmarshalJSON(raw []byte) error {
 	var text *string
 	if json.Unmarshal(raw, &text) == nil {
@@ -104,8 +107,8 @@
 	return nil
 }
 
-// chatPrompt makes the prompt of a chat: one line of role and text a message,
-// and the line that the model continues.
+// chatPrompt returns the prompt for a chat: one "role: text" line per message,
+// followed by the assistant's line for the model to complete.
 func chatPrompt(messages []message) string {
 	var prompt strings.Builder
 	for _, m := range messages {
@@ -137,7 +140,8 @@
 	})
 }
 
-// generate reads a body, makes its specification and submits it.
+// generate parses a request body, builds the request's specification and submits
+// it. promptOf returns the prompt or the error to respond with.
 func (a *API) generate(c echo.Context, kind request.Kind, promptOf func(*generateBody) (string, error)) error {
 	call, err := a.authenticate(c)
 	if err != nil {
@@ -188,7 +192,8 @@
 	return false
 }
 
-// parseGenerateBody decodes a body and keeps the members that this API does not read.
+// parseGenerateBody decodes and validates a body. It also returns the raw values
+// of the members that this API does not interpret.
 func parseGenerateBody(c echo.Context) (*generateBody, map[string][]byte, error) {
 	raw, err := readRequestBody(c)
 	if err != nil {
@@ -232,5 +237,5 @@
 	return service.Model.MaxTokens
 }
 
-// createdUnix is the time that answers carry, in seconds since 1970.
+// createdUnix returns the creation time of a response as a Unix time in seconds.
 func createdUnix(accepted time.Time) int64 { return accepted.Unix() }
--- a/internal/callerapi/plain.go
+++ b/internal/callerapi/plain.go
@@ -16,10 +16,11 @@
 
 var errNonTextPart = errors.New("only text parts are offered")
 
-// bodyLimit writes a size in the notation of the middleware.
+// bodyLimit formats a size in bytes for the body limit middleware.
 func bodyLimit(bytes int) string { return strconv.Itoa(bytes) + "B" }
 
-// readRequestBody reads a caller's body. Errors of the body limit pass through.
+// readRequestBody reads a request body. The body limit middleware's errors are
+// returned unchanged, which keeps their status.
 func readRequestBody(c echo.Context) ([]byte, error) {
 	raw, err := io.ReadAll(c.Request().Body)
 	if err == nil {
@@ -32,28 +33,30 @@
 	return nil, refuse(http.StatusBadRequest, "body could not be read").Err()
 }
 
-// notForwardedHeaders are headers that concern one connection or this API alone.
+// notForwardedHeaders are hop-by-hop headers and headers that only this API uses.
 var notForwardedHeaders = []string{
 	"Authorization", "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Prefer", "Expect", "Content-Length",
 	headerClass, headerRequestID, headerOutcome, "Plankridge-Attempt", "Plankridge-Workspace",
 }
 
-// endToEndHeaders returns the headers that concern both ends of a call.
+// endToEndHeaders returns a copy of the headers without hop-by-hop headers and
+// without those that only this API uses.
 func endToEndHeaders(header http.Header) http.Header {
-	kept := header.Clone()
+	forwarded := header.Clone()
 	for _, value := range header.Values("Connection") {
 		for _, name := range strings.Split(value, ",") {
-			kept.Del(strings.TrimSpace(name))
+			forwarded.Del(strings.TrimSpace(name))
 		}
 	}
 	for _, name := range notForwardedHeaders {
-		kept.Del(name)
+		forwarded.Del(name)
 	}
-	return kept
+	return forwarded
 }
 
-// plain passes a call on to a plain service.
+// plain handles calls to plain services. A call with an idempotency key is
+// submitted through the key's home.
 func (a *API) plain(c echo.Context) error {
 	call, err := a.authenticate(c)
 	if err != nil {
--- a/internal/callerapi/problem.go
+++ b/internal/callerapi/problem.go
@@ -12,7 +12,7 @@
 	"github.com/plankridge/plankridge/internal/request"
 )
 
-// Headers of answers.
+// Response headers.
 const (
 	headerRequestID = "Plankridge-Request-Id"
 	headerOutcome   = "Plankridge-Outcome"
@@ -21,8 +21,8 @@
 
 const contentTypeProblem = "application/problem+json"
 
-// problem is an RFC 9457 problem document. Outcome tells whether the request
-// has run; Error repeats the detail in the form that OpenAI clients read.
+// problem is an RFC 9457 problem document. Outcome states whether the request
+// has run. Error repeats the detail in the format that OpenAI clients parse.
 type problem struct {
 	Type      string          `json:"type"`
 	Title     string          `json:"title"`
@@ -41,7 +41,7 @@
 	Code    string `json:"code"`
 }
 
-// refuse returns the problem of a request that has not run.
+// refuse returns the problem for a request that was rejected without being run.
 func refuse(status int, detail string) *problem {
 	return newProblem(status, request.OutcomeNotRun, detail)
 }
@@ -57,14 +57,14 @@
 	}
 }
 
-// failureProblem returns the problem of an accepted request that has no answer.
+// failureProblem returns the problem for an accepted request that failed.
 func failureProblem(id request.ID, failure *request.Failure) *problem {
 	p := newProblem(failure.Status, failure.Outcome, failure.Detail)
 	p.RequestID = id
 	return p
 }
 
-// Err makes the problem an error, so that handlers can return it.
+// Err wraps the problem in an error, so that handlers can return it.
 func (p *problem) Err() error { return problemError{p} }
 
 type problemError struct{ problem *problem }
@@ -72,7 +72,7 @@
 // Error implements error.
 func (e problemError) Error() string { return e.problem.Detail }
 
-// write sends the problem document.
+// write sends the problem document and its headers as the response.
 func (p *problem) write(c echo.Context) error {
 	header := c.Response().Header()
 	header.Set(headerOutcome, string(p.Outcome))
