--- a/internal/operatorapi/api.go
+++ b/internal/operatorapi/api.go
@@ -1,5 +1,6 @@
-// Package operatorapi is the HTTP API for operators, which every daemon
-// serves: apply and read the deployment, and see what the daemons do.
+// Package operatorapi implements the HTTP API for operators and its client. Every
+// daemon serves the API, which applies and returns the deployment and reports the
+// status of the daemons.
 package operatorapi
 
 import (
@@ -26,12 +27,14 @@
 	"github.com/plankridge/plankridge/internal/vmlist"
 )
 
-// applyTimeout bounds one apply, including the time to settle a lost answer.
+// applyTimeout bounds one apply, including the time to find out whether a write
+// with a lost response took effect.
 const applyTimeout = 20 * time.Second
 
-// Options are what the API works with.
+// Options configures an API.
 type Options struct {
-	// Token is the bearer token of operators; empty means that none is asked.
+	// Token is the operators' bearer token. If it is empty, requests are not
+	// authenticated.
 	Token     string
 	Publisher *generation.Publisher
 	Follower  *generation.Follower
@@ -41,17 +44,17 @@
 	Logger    *slog.Logger
 	// Self returns the status of this daemon.
 	Self func() peer.DaemonStatus
-	// Ready reports whether the daemon can serve.
+	// Ready reports whether the daemon can accept requests.
 	Ready func() bool
 }
 
-// API serves operators.
+// API is the HTTP handler for operators.
 type API struct {
 	options Options
 	echo    *echo.Echo
 }
 
-// New returns the API.
+// New returns an API.
 func New(options Options) *API {
 	a := &API{options: options, echo: echo.New()}
 	a.echo.HideBanner = true
@@ -90,24 +93,27 @@
 	}
 }
 
-// ApplyRequest asks to make files the next generation.
+// ApplyRequest is the body of a request to make files the next generation.
 type ApplyRequest struct {
 	Files []config.File `json:"files"`
-	// BasedOn is the generation that the files were made for.
+	// BasedOn is the generation that the files modify. The apply fails with a
+	// conflict if another generation is current.
 	BasedOn int64 `json:"based_on"`
-	// ApplyID makes a repeated apply harmless.
+	// ApplyID identifies the apply, so that a repeated one has no further effect.
 	ApplyID string `json:"apply_id"`
-	// DryRun checks the files and changes nothing.
+	// DryRun validates the files without applying them.
 	DryRun bool `json:"dry_run,omitempty"`
 }
 
-// ApplyResponse names the generation that an apply made.
+// ApplyResponse holds the generation that an apply created or, for a dry run, would
+// create.
 type ApplyResponse struct {
 	Generation int64 `json:"generation"`
 	DryRun     bool  `json:"dry_run,omitempty"`
 }
 
-// Failure says why an operator's call failed.
+// Failure is the response body of a failed call. BasedOn and Current are set for a
+// conflict.
 type Failure struct {
 	Message  string            `json:"message"`
 	Findings []finding.Finding `json:"findings,omitempty"`
@@ -140,7 +146,7 @@
 	return c.JSON(http.StatusOK, ApplyResponse{Generation: manifest.Generation})
 }
 
-// writeError answers with the status that fits an error.
+// writeError sends an error as a Failure with the HTTP status for its type.
 func (a *API) writeError(c echo.Context, err error) error {
 	var findings *finding.Error
 	var conflict *generation.ConflictError
@@ -155,8 +161,8 @@
 	return c.JSON(http.StatusInternalServerError, Failure{Message: err.Error()})
 }
 
-// currentDeployment returns the deployment in the store or, when the store cannot be
-// reached, the one in force here.
+// currentDeployment returns the deployment in the store. If the store cannot be
+// read, it returns the deployment in force on this daemon.
 func (a *API) currentDeployment(ctx context.Context) (generation.Document, error) {
 	manifest, deployment, err := a.options.Publisher.Read(ctx)
 	if errors.Is(err, generation.ErrNoDeployment) {
@@ -180,12 +186,12 @@
 	return c.JSON(http.StatusOK, document)
 }
 
-// DiffRequest asks how files differ from the current deployment.
+// DiffRequest is the body of a request to compare files with the current deployment.
 type DiffRequest struct {
 	Files []config.File `json:"files"`
 }
 
-// DiffResponse lists the differences to a generation.
+// DiffResponse lists the changes from a generation to the files of a DiffRequest.
 type DiffResponse struct {
 	Generation int64           `json:"generation"`
 	Changes    []config.Change `json:"changes"`
@@ -196,7 +202,7 @@
 	if err := json.NewDecoder(c.Request().Body).Decode(&body); err != nil {
 		return c.JSON(http.StatusBadRequest, Failure{Message: err.Error()})
 	}
-	wanted, err := config.Load(body.Files)
+	desired, err := config.Load(body.Files)
 	if err != nil {
 		return a.writeError(c, err)
 	}
@@ -204,11 +210,12 @@
 	if err != nil {
 		return a.writeError(c, err)
 	}
-	changes := config.Diff(document.Deployment, wanted)
+	changes := config.Diff(document.Deployment, desired)
 	return c.JSON(http.StatusOK, DiffResponse{Generation: document.Generation, Changes: changes})
 }
 
-// StatusResponse is what operators see of the whole system.
+// StatusResponse holds the status of all daemons, and the number of backend servers
+// by service and VM state.
 type StatusResponse struct {
 	Daemons []peer.DaemonStatus               `json:"daemons"`
 	Servers map[string]map[vmlist.VMState]int `json:"servers"`
@@ -221,7 +228,8 @@
 	})
 }
 
-// daemonStatuses returns the status of every daemon, this one from its own memory.
+// daemonStatuses returns the status of every daemon. This daemon's status is read
+// locally.
 func (a *API) daemonStatuses(ctx context.Context) []peer.DaemonStatus {
 	self := a.options.Self()
 	statuses := a.options.Mesh.Statuses(ctx)
@@ -234,7 +242,8 @@
 	return append(statuses, self)
 }
 
-// BurnResponse holds the counts of all reachable daemons together.
+// BurnResponse holds the counts of good and bad requests, summed over all reachable
+// daemons.
 type BurnResponse struct {
 	Windows []string   `json:"windows"`
 	Rows    []burn.Row `json:"rows"`
--- a/internal/operatorapi/client.go
+++ b/internal/operatorapi/client.go
@@ -10,23 +10,25 @@
 	"github.com/plankridge/plankridge/internal/httpjson"
 )
 
-// Client calls the operator API of a daemon.
+// Client is a client of a daemon's operator API. A rejected call returns a
+// *FailureError.
 type Client struct {
 	api httpjson.Client
 }
 
-// NewClient returns a client of the daemon at the URL.
+// NewClient returns a client of the daemon at the URL. An empty token sends no
+// Authorization header.
 func NewClient(url, token string) *Client {
 	return &Client{api: httpjson.Client{Base: url, Token: token}}
 }
 
-// FailureError is a Failure that a daemon has answered.
+// FailureError is a Failure returned by a daemon, with the HTTP status.
 type FailureError struct {
 	Status  int
 	Failure Failure
 }
 
-// Error returns the daemon's message.
+// Error implements error. It returns the daemon's message.
 func (e *FailureError) Error() string { return e.Failure.Message }
 
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
@@ -42,7 +44,7 @@
 	return failure
 }
 
-// Apply makes files the next generation.
+// Apply applies files as the next generation.
 func (c *Client) Apply(ctx context.Context, request ApplyRequest) (ApplyResponse, error) {
 	var response ApplyResponse
 	err := c.call(ctx, http.MethodPost, "/v1/apply", request, &response)
@@ -63,14 +65,14 @@
 	return document, err
 }
 
-// Status returns the status of the whole system.
+// Status returns the status of all daemons and the backend server counts.
 func (c *Client) Status(ctx context.Context) (StatusResponse, error) {
 	var response StatusResponse
 	err := c.call(ctx, http.MethodGet, "/v1/status", nil, &response)
 	return response, err
 }
 
-// Burn returns the counts of good and bad requests.
+// Burn returns the counts of good and bad requests by service and workspace.
 func (c *Client) Burn(ctx context.Context) (BurnResponse, error) {
 	var response BurnResponse
 	err := c.call(ctx, http.MethodGet, "/v1/burn", nil, &response)
