--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon wires the components of one entry VM together and runs them
-// from start to graceful shutdown.
+// Package daemon creates and connects the components of an entry VM's process, and
+// runs them from startup to graceful shutdown.
 package daemon
 
 import (
@@ -38,17 +38,16 @@
 	"github.com/plankridge/plankridge/platform"
 )
 
-// Options are what a daemon is made from.
+// Options configures a Daemon.
 type Options struct {
 	Settings config.Settings
 	Network  network.Network
 	Logger   *slog.Logger
-	// OnViolation is called when the program breaks an invariant; tests make
-	// it fatal.
+	// OnViolation is called when an invariant is violated. Tests make it fatal.
 	OnViolation func(error)
 }
 
-// Daemon is the process of one entry VM.
+// Daemon serves callers, peers and operators on one entry VM.
 type Daemon struct {
 	settings config.Settings
 	logger   *slog.Logger
@@ -78,7 +77,7 @@
 	operatorServer *http.Server
 }
 
-// New builds a daemon and opens its listeners. Run serves on them.
+// New creates a daemon and opens its listeners. Run starts serving on them.
 func New(options Options) (*Daemon, error) {
 	d := &Daemon{
 		settings: options.Settings,
@@ -102,7 +101,7 @@
 func (d *Daemon) listen(n network.Network) error {
 	listeners := []struct {
 		address string
-		into    *net.Listener
+		target  *net.Listener
 	}{
 		{d.settings.Listen.Callers, &d.callerListener},
 		{d.settings.Listen.Peers, &d.peerListener},
@@ -113,7 +112,7 @@
 		if err != nil {
 			return eris.Wrapf(err, "listen on %s", l.address)
 		}
-		*l.into = listener
+		*l.target = listener
 	}
 	return nil
 }
@@ -236,7 +235,7 @@
 	d.operatorServer = &http.Server{Handler: operators, ReadHeaderTimeout: d.settings.Limits.ReadTimeout.Std()}
 }
 
-// locator adapts the mesh to the caller API.
+// locator adapts peer.Mesh to callerapi.Locator.
 type locator struct{ mesh *peer.Mesh }
 
 // Locate implements callerapi.Locator.
@@ -244,7 +243,7 @@
 	return l.mesh.Locate(ctx, id)
 }
 
-// VM returns the daemon's own entry for the VM list.
+// VM returns the entry that describes this daemon's VM in the VM list.
 func (d *Daemon) VM() vmlist.VM {
 	return vmlist.VM{
 		ID:              d.settings.Daemon.ID,
@@ -255,17 +254,17 @@
 	}
 }
 
-// CallerAddress returns the IP:port of the caller API.
+// CallerAddress returns the address of the caller API as IP:port.
 func (d *Daemon) CallerAddress() string { return d.callerListener.Addr().String() }
 
-// Ready reports whether the daemon has a deployment, is shown by the VM list
-// and is not shutting down. Others tell its death by the list, so it takes
-// nothing on before.
+// Ready reports whether the daemon has a deployment, has appeared in the VM list
+// and is not shutting down. Other daemons detect its failure by its removal from
+// the list, so it accepts no requests before it has been listed.
 func (d *Daemon) Ready() bool {
 	return !d.draining.Load() && d.follower.Index() != nil && d.mesh.SelfListed()
 }
 
-// Generation returns the generation in force at this daemon.
+// Generation returns the generation in force on this daemon.
 func (d *Daemon) Generation() int64 { return d.follower.Generation() }
 
 func (d *Daemon) status() peer.DaemonStatus {
@@ -281,23 +280,24 @@
 	}
 }
 
-// Owns reports whether the daemon has accepted the request with the ID.
+// Owns reports whether this daemon assigned the request ID when it accepted the
+// request.
 func (d *Daemon) Owns(id string) bool {
 	return request.ID(id).Tag() == request.DaemonTag(d.settings.Daemon.ID)
 }
 
-// Copies returns the number of requests that the daemon keeps a copy of.
+// Copies returns the number of request copies that the daemon holds for other
+// daemons.
 func (d *Daemon) Copies() int {
 	copies, _ := d.mesh.Copies()
 	return copies
 }
 
-// InFlight returns the number of accepted requests that have not ended here.
+// InFlight returns the number of requests that have not ended on this daemon.
 func (d *Daemon) InFlight() int {
 	inFlight, _ := d.dispatcher.Load()
 	return inFlight
 }
 
-// KeySlots returns the number of slots of idempotency keys that the daemon
-// serves.
+// KeySlots returns the number of idempotency key slots that the daemon serves.
 func (d *Daemon) KeySlots() int { return d.keys.Serving() }
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -11,15 +11,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// Run serves until the context ends, and then shuts down gracefully: it
-// returns when every accepted request has its answer. kill ends it at once.
+// Run serves until ctx is done and then shuts down gracefully: it returns when
+// every accepted request has been answered. If the VM is reclaimed, it moves
+// unfinished requests to other daemons first. When kill is done, Run stops
+// immediately.
 func (d *Daemon) Run(ctx, kill context.Context) error {
-	loops, stopLoops := context.WithCancel(context.WithoutCancel(ctx))
+	loopCtx, stopLoops := context.WithCancel(context.WithoutCancel(ctx))
 	var background sync.WaitGroup
-	background.Go(func() { d.registry.Run(loops, d.vms, d.cloud) })
-	background.Go(func() { d.follower.Run(loops) })
-	background.Go(func() { d.mesh.Run(loops) })
-	background.Go(func() { d.keys.Run(loops) })
+	background.Go(func() { d.registry.Run(loopCtx, d.vms, d.cloud) })
+	background.Go(func() { d.follower.Run(loopCtx) })
+	background.Go(func() { d.mesh.Run(loopCtx) })
+	background.Go(func() { d.keys.Run(loopCtx) })
 
 	failed := make(chan error, 3)
 	background.Go(func() { failed <- ignoreClosed(d.callerServer.Serve(d.callerListener)) })
@@ -50,8 +52,9 @@
 	return err
 }
 
-// shutDown cuts no request: it stays reachable until the balancer has noticed,
-// answers what it has accepted, and gives unread answers to other daemons.
+// shutDown ends the daemon without interrupting a request. It keeps accepting
+// connections until the balancer has detected that the daemon is not ready, waits
+// for all accepted requests, and transfers unread answers to other daemons.
 func (d *Daemon) shutDown(kill context.Context) error {
 	d.logger.Info("shutting down", "delay", d.settings.Drain.Delay.Std())
 	d.draining.Store(true)
@@ -62,30 +65,32 @@
 		return kill.Err()
 	}
 	if err := d.callerServer.Shutdown(kill); err != nil {
-		return eris.Wrap(err, "wait for callers")
+		return eris.Wrap(err, "wait for caller connections to close")
 	}
 	if err := d.dispatcher.Drain(kill); err != nil {
-		return eris.Wrap(err, "wait for requests")
+		return eris.Wrap(err, "wait for requests to end")
 	}
 	d.dispatcher.HandOverAnswers(kill)
 	d.releaseKeys(kill)
-	d.logger.Info("every request has ended")
+	d.logger.Info("all requests have ended")
 	return nil
 }
 
-// evacuationMargin is the time before a reclaim's deadline at which the daemon
-// hands over what has not ended. A shorter notice leaves half of itself.
+// evacuationMargin is how long before the reclaim deadline the daemon hands over
+// unfinished requests. If less than twice the margin remains, it uses half of the
+// remaining time.
 const evacuationMargin = 1500 * time.Millisecond
 
-// evacuate empties the daemon before its VM is reclaimed: short requests still
-// end here, the others go to other daemons.
+// evacuate shuts the daemon down before its VM is reclaimed. Requests may finish
+// here until evacuationMargin before the deadline. The others are handed over to
+// other daemons.
 func (d *Daemon) evacuate(kill context.Context, deadline time.Time) error {
-	left := time.Until(deadline)
-	d.logger.Info("VM is being reclaimed", "left", left)
+	remaining := time.Until(deadline)
+	d.logger.Info("VM is being reclaimed", "left", remaining)
 	d.draining.Store(true)
 	d.callerAPI.Drain()
 	select {
-	case <-time.After(left - min(evacuationMargin, left/2)):
+	case <-time.After(remaining - min(evacuationMargin, remaining/2)):
 	case <-kill.Done():
 		return kill.Err()
 	}
@@ -93,12 +98,12 @@
 	defer cancel()
 	d.dispatcher.Evacuate(ctx)
 	d.releaseKeys(ctx)
-	d.logger.Info("every request has ended or moved")
+	d.logger.Info("all requests have ended or have been handed over")
 	return d.callerServer.Shutdown(ctx)
 }
 
-// releaseTimeout bounds the release of key slots. Without it, others take them
-// when this VM has left the VM list.
+// releaseTimeout bounds the release of key slots. Slots that are not released in
+// time are taken over by other daemons once this VM has left the VM list.
 const releaseTimeout = 5 * time.Second
 
 func (d *Daemon) releaseKeys(ctx context.Context) {
@@ -107,7 +112,7 @@
 	d.keys.Release(ctx)
 }
 
-// zoneNames returns the availability zones of the deployment in force.
+// zoneNames returns the names of the availability zones in the deployment in force.
 func (d *Daemon) zoneNames() []string {
 	index := d.follower.Index()
 	if index == nil {
@@ -120,7 +125,7 @@
 	return names
 }
 
-// close ends everything at once.
+// close stops all servers and cancels all requests immediately.
 func (d *Daemon) close() {
 	d.mesh.Close()
 	d.peerServer.Stop()
