--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli holds the subcommands of the plankridge binary and their exit
-// codes.
+// Package cli implements the subcommands of the plankridge binary and defines its
+// exit codes.
 package cli
 
 import (
@@ -25,31 +25,31 @@
 	ExitConflict = 3
 )
 
-// Environment is what a subcommand works in.
+// Environment holds the contexts, streams and output format of a subcommand.
 type Environment struct {
-	// Context ends when the command is to finish what it does, Kill when it is
-	// to stop at once.
+	// Context is done when the command should shut down gracefully, Kill when it
+	// should stop immediately.
 	Context context.Context
 	Kill    context.Context
-	// Reload tells of each request to read the settings again.
+	// Reload receives a signal for each request to reload the settings.
 	Reload <-chan os.Signal
 	Stdout io.Writer
 	Stderr io.Writer
-	// Output is the form of answers.
+	// Output is the format of results.
 	Output Output
 }
 
-// Output is the form in which answers are printed.
+// Output is the format in which results are printed.
 type Output string
 
-// The forms of output.
+// Output formats.
 const (
 	OutputTable Output = "table"
 	OutputJSON  Output = "json"
 	OutputYAML  Output = "yaml"
 )
 
-// Check returns a usage error for an unknown form.
+// Check returns a *UsageError if the format is unknown.
 func (o Output) Check() error {
 	switch o {
 	case OutputTable, OutputJSON, OutputYAML:
@@ -58,17 +58,17 @@
 	return &UsageError{Message: fmt.Sprintf("--output: %q is not one of table, json, yaml", o)}
 }
 
-// UsageError is a command line that cannot be carried out.
+// UsageError reports an invalid command line.
 type UsageError struct{ Message string }
 
 // Error implements error.
 func (e *UsageError) Error() string { return e.Message }
 
-// errOutcomeNotMet means that the command ran and its result is not the wanted one;
-// what there is to say has been printed.
+// errOutcomeNotMet means that the command ran but its result is not the expected
+// one. The result has been printed, so ExitCode prints nothing more.
 var errOutcomeNotMet = errors.New("stated outcome does not hold")
 
-// ExitCode prints an error and returns the exit code that it means.
+// ExitCode prints an error and returns the exit code for it.
 func ExitCode(env *Environment, err error) int {
 	var usage *UsageError
 	var findings *finding.Error
@@ -103,7 +103,8 @@
 	return ExitFailed
 }
 
-// printFindings prints one finding a line, or all as one document.
+// printFindings prints one finding per line or, for JSON and YAML output, a single
+// document.
 func printFindings(env *Environment, findings []finding.Finding) {
 	if env.Output == OutputJSON || env.Output == OutputYAML {
 		_ = printDocument(env, map[string]any{"findings": findings})
@@ -114,7 +115,8 @@
 	}
 }
 
-// printDocument prints a value as JSON or YAML.
+// printDocument prints a value as YAML if that is the output format, and otherwise
+// as JSON.
 func printDocument(env *Environment, value any) error {
 	raw, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
@@ -130,7 +132,7 @@
 	return eris.Wrap(err, "write output")
 }
 
-// printResult prints a value as a document, or by table where that is asked for.
+// printResult prints a value in the output format. For tables it calls table.
 func printResult(env *Environment, value any, table func(io.Writer)) error {
 	if env.Output != OutputTable {
 		return printDocument(env, value)
@@ -139,20 +141,21 @@
 	return nil
 }
 
-// Operator says how to reach the operator API.
+// Operator holds the URL of the operator API and the path of the file with its
+// token. Without a file, the token is read from TokenVariable.
 type Operator struct {
 	URL       string
 	TokenFile string
 }
 
-// SettingsVariable is the environment variable that holds the path of the
-// settings of serve.
+// SettingsVariable is the environment variable that holds the path of the settings
+// file for the serve command.
 const SettingsVariable = "PLANKRIDGE_SETTINGS"
 
 // TokenVariable is the environment variable that holds the operator token.
 const TokenVariable = "PLANKRIDGE_OPERATOR_TOKEN"
 
-// Client returns a client of the operator API.
+// Client returns a client of the operator API, or a *UsageError if the URL is empty.
 func (o Operator) Client() (*operatorapi.Client, error) {
 	if o.URL == "" {
 		return nil, &UsageError{Message: "--url is missing: the operator API of any daemon, such as http://10.0.0.4:7080"}
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -15,27 +15,27 @@
 	"github.com/plankridge/plankridge/internal/experiment"
 )
 
-// ExperimentOptions are the arguments of experiment.
+// ExperimentOptions holds the arguments of the experiment command.
 type ExperimentOptions struct {
-	// Day is the file that describes the day, or a directory of such files.
+	// Day is the path of a day description, or of a directory of such YAML files.
 	Day string
-	// Routing and Sizing name what is compared; empty stands for all policies
-	// and for the product's own sizing.
+	// Routing and Sizing are the names of the policies to compare. They default to
+	// all routing policies and to the product's sizing policy.
 	Routing []string
 	Sizing  []string
-	// Seeds is the number of seeds from FirstSeed on.
+	// Seeds is the number of consecutive seeds, starting at FirstSeed.
 	Seeds     int
 	FirstSeed int
 	Plot      bool
 }
 
-// trial is one combination that is played.
+// trial is a combination of a routing policy and a sizing policy to simulate.
 type trial struct {
 	policy experiment.Policy
 	sizing experiment.Sizing
 }
 
-// trialRow is the mean of a combination's plays.
+// trialRow holds the results of a trial on one day, as means over all seeds.
 type trialRow struct {
 	Day              string  `json:"day"`
 	Routing          string  `json:"routing"`
@@ -57,7 +57,8 @@
 	shares []float64
 }
 
-// Experiment plays a day and prints what each combination earned.
+// Experiment simulates one or more days and prints the mean results of each
+// combination of policies.
 func Experiment(env *Environment, options ExperimentOptions) error {
 	if options.Day == "" {
 		return &UsageError{Message: "experiment: name the file that describes the day"}
@@ -87,7 +88,8 @@
 	return printResult(env, rows, func(out io.Writer) { printTrials(out, rows, options.Plot) })
 }
 
-// dayFiles returns the file that is named, or those of a directory in order.
+// dayFiles returns path itself if it is a file, or the sorted YAML files in it if it
+// is a directory.
 func dayFiles(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -98,7 +100,7 @@
 	}
 	files, err := filepath.Glob(filepath.Join(path, "*.yaml"))
 	if err == nil && len(files) == 0 {
-		err = fmt.Errorf("%s: no file *.yaml", path)
+		err = fmt.Errorf("%s: directory has no *.yaml files", path)
 	}
 	return files, err
 }
@@ -132,7 +134,7 @@
 	return trials, nil
 }
 
-// splitCommas splits values that were given together, as in "a,b".
+// splitCommas splits comma-separated values such as "a,b".
 func splitCommas(values []string) []string {
 	var all []string
 	for _, value := range values {
@@ -141,22 +143,23 @@
 	return all
 }
 
-// runTrials plays every trial with every seed, a few at a time.
+// runTrials simulates every trial with every seed, on up to half of the CPUs, and
+// returns one row per trial.
 func runTrials(day *experiment.Day, trials []trial, options ExperimentOptions) []trialRow {
 	results := make([][]*experiment.Result, len(trials))
-	var running sync.WaitGroup
-	places := make(chan struct{}, max(1, runtime.NumCPU()/2))
+	var wg sync.WaitGroup
+	semaphore := make(chan struct{}, max(1, runtime.NumCPU()/2))
 	for i, t := range trials {
 		results[i] = make([]*experiment.Result, options.Seeds)
 		for n := range options.Seeds {
-			running.Go(func() {
-				places <- struct{}{}
-				defer func() { <-places }()
+			wg.Go(func() {
+				semaphore <- struct{}{}
+				defer func() { <-semaphore }()
 				results[i][n] = experiment.Play(day, t.policy, t.sizing, uint64(options.FirstSeed+n))
 			})
 		}
 	}
-	running.Wait()
+	wg.Wait()
 	rows := make([]trialRow, len(trials))
 	for i, t := range trials {
 		rows[i] = meanRow(t, results[i])
@@ -166,25 +169,25 @@
 
 func meanRow(t trial, results []*experiment.Result) trialRow {
 	row := trialRow{Routing: t.policy.Name, Sizing: t.sizing.Name, shares: make([]float64, len(results[0].Shares()))}
-	share := 1 / float64(len(results))
+	weight := 1 / float64(len(results))
 	const thousand = 1000
 	for _, r := range results {
-		asked := share / float64(max(1, r.Asked))
-		row.Net += share * r.Net()
-		row.Share += share * r.Share()
-		row.WorstSpans += share * r.WorstSpans()
-		row.OnTime += asked * float64(r.OnTime)
-		row.Late += asked * float64(r.Late)
-		row.Refused += asked * float64(r.Refused)
-		row.Failed += asked * float64(r.Failed)
-		row.FirstP50MS += share * float64(r.FirstMS(50))
-		row.FirstP95MS += share * float64(r.FirstMS(95))
-		row.ReadKTokens += share * float64(r.Read) / thousand
-		row.ReadAgainKTokens += share * float64(r.ReadAgain) / thousand
-		row.CopiedKTokens += share * float64(r.Copied) / thousand
-		row.ServerSeconds += share * r.ServerSeconds
+		perRequest := weight / float64(max(1, r.Asked))
+		row.Net += weight * r.Net()
+		row.Share += weight * r.Share()
+		row.WorstSpans += weight * r.WorstSpans()
+		row.OnTime += perRequest * float64(r.OnTime)
+		row.Late += perRequest * float64(r.Late)
+		row.Refused += perRequest * float64(r.Refused)
+		row.Failed += perRequest * float64(r.Failed)
+		row.FirstP50MS += weight * float64(r.FirstMS(50))
+		row.FirstP95MS += weight * float64(r.FirstMS(95))
+		row.ReadKTokens += weight * float64(r.Read) / thousand
+		row.ReadAgainKTokens += weight * float64(r.ReadAgain) / thousand
+		row.CopiedKTokens += weight * float64(r.Copied) / thousand
+		row.ServerSeconds += weight * r.ServerSeconds
 		for i, s := range r.Shares() {
-			row.shares[i] += share * s
+			row.shares[i] += weight * s
 		}
 	}
 	return row
@@ -208,11 +211,12 @@
 const (
 	plotWidth  = 78
 	plotHeight = 14
-	// maxPlottedRows bounds the lines of a plot to those that can be told apart.
+	// maxPlottedRows bounds the lines of a plot. More cannot be told apart.
 	maxPlottedRows = 5
 )
 
-// renderPlot draws the share of the worth earned over the day, the best rows.
+// renderPlot plots the share of the worth earned over the day for the rows with the
+// highest net result.
 func renderPlot(rows []trialRow) string {
 	best := slices.SortedFunc(slices.Values(rows), func(a, b trialRow) int {
 		if a.Net > b.Net {
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -10,35 +10,37 @@
 	"github.com/plankridge/plankridge/internal/explain"
 )
 
-// ExplainOptions are the arguments of explain.
+// ExplainOptions holds the arguments of the explain command.
 type ExplainOptions struct {
 	RequestID string
-	// Files are the daemons' logs; none means standard input.
+	// Files are the paths of the daemons' logs. If empty, standard input is read.
 	Files []string
-	// Summary counts the causes of all requests that were not served.
+	// Summary selects counts by cause for all requests that were not served, in
+	// place of one request.
 	Summary bool
 }
 
-// Explain prints the story of one request, or the causes of all that failed.
+// Explain prints what the logs record about one request or, with Summary, how many
+// requests failed for each cause.
 func Explain(env *Environment, options ExplainOptions) error {
 	if options.RequestID == "" && !options.Summary {
 		return &UsageError{Message: "explain: name a request ID, or give --summary"}
 	}
-	lines, broken, err := readLogs(options.Files)
+	lines, unreadable, err := readLogs(options.Files)
 	if err != nil {
 		return err
 	}
-	if broken > 0 {
-		_, _ = fmt.Fprintf(env.Stderr, "%d lines could not be read and are left out\n", broken)
+	if unreadable > 0 {
+		_, _ = fmt.Fprintf(env.Stderr, "%d lines could not be read and are left out\n", unreadable)
 	}
 	if options.Summary {
 		return printSummary(env, explain.Summary(lines))
 	}
-	story, found := explain.BuildTimeline(lines, options.RequestID)
+	report, found := explain.BuildTimeline(lines, options.RequestID)
 	if !found {
 		return eris.Errorf("no line names request %s; was the log level below info, or does the ID belong to another attempt?", options.RequestID)
 	}
-	return eris.Wrap(story.Print(env.Stdout), "write output")
+	return eris.Wrap(report.Print(env.Stdout), "write output")
 }
 
 func readLogs(files []string) ([]explain.Line, int, error) {
@@ -46,15 +48,15 @@
 		return explain.Read(os.Stdin)
 	}
 	var all []explain.Line
-	broken := 0
+	unreadable := 0
 	for _, path := range files {
 		lines, n, err := readLog(path)
 		if err != nil {
 			return nil, 0, err
 		}
-		all, broken = append(all, lines...), broken+n
+		all, unreadable = append(all, lines...), unreadable+n
 	}
-	return all, broken, nil
+	return all, unreadable, nil
 }
 
 func readLog(path string) ([]explain.Line, int, error) {
@@ -63,8 +65,8 @@
 		return nil, 0, eris.Wrap(err, "open log")
 	}
 	defer func() { _ = file.Close() }()
-	lines, broken, err := explain.Read(file)
-	return lines, broken, eris.Wrapf(err, "read %s", path)
+	lines, unreadable, err := explain.Read(file)
+	return lines, unreadable, eris.Wrapf(err, "read %s", path)
 }
 
 func printSummary(env *Environment, counts []explain.CauseCount) error {
--- a/internal/cli/files.go
+++ b/internal/cli/files.go
@@ -12,7 +12,8 @@
 	"github.com/plankridge/plankridge/internal/operatorapi"
 )
 
-// Validate checks files that operators apply, and the settings of daemons.
+// Validate checks deployment files and daemon settings files without contacting a
+// daemon.
 func Validate(env *Environment, paths, settings []string) error {
 	if len(paths) == 0 && len(settings) == 0 {
 		return &UsageError{Message: "nothing to validate: give --file or --settings"}
@@ -39,22 +40,23 @@
 	return eris.Wrap(err, "write output")
 }
 
-// ApplyOptions are the flags of apply.
+// ApplyOptions holds the flags of the apply command.
 type ApplyOptions struct {
 	Operator Operator
 	Files    []string
-	// BasedOn is the generation that the files were made for; negative means
-	// the current one.
+	// BasedOn is the generation that the files modify. A negative value stands for
+	// the current generation.
 	BasedOn int64
 	DryRun  bool
-	// Wait waits until every reachable daemon has the new generation.
+	// Wait makes Apply wait until the new generation is in force on every reachable
+	// daemon.
 	Wait bool
 }
 
-// waitPollInterval is the pause between two looks at the daemons' generations.
+// waitPollInterval is the pause between two polls of the daemons' generations.
 const waitPollInterval = 100 * time.Millisecond
 
-// Apply makes files the next generation.
+// Apply applies files as the next generation.
 func Apply(env *Environment, options ApplyOptions) error {
 	if len(options.Files) == 0 {
 		return &UsageError{Message: "--file is missing: a YAML file or a folder of them"}
@@ -122,7 +124,7 @@
 	return true
 }
 
-// Diff prints how files differ from the current deployment.
+// Diff prints the changes from the current deployment to the files.
 func Diff(env *Environment, operator Operator, paths []string) error {
 	if len(paths) == 0 {
 		return &UsageError{Message: "--file is missing: a YAML file or a folder of them"}
--- a/internal/cli/router.go
+++ b/internal/cli/router.go
@@ -9,7 +9,7 @@
 	"github.com/plankridge/plankridge/internal/router"
 )
 
-// serveRouter runs a daemon on the users' platform.
+// serveRouter runs a router on the users' platform. It logs to standard output.
 func serveRouter(env *Environment, settingsPath string) error {
 	settings, err := config.LoadRouterSettings(settingsPath)
 	if err != nil {
@@ -18,27 +18,27 @@
 	lines := eventlog.NewWriter(env.Stdout)
 	defer lines.Close()
 	logger := eventlog.New(lines, slog.LevelInfo)
-	one, err := router.New(router.Options{Settings: settings, Network: network.TCP{}, Logger: logger})
+	r, err := router.New(router.Options{Settings: settings, Network: network.TCP{}, Logger: logger})
 	if err != nil {
 		return err
 	}
 	go watchReload(env, settingsPath, settings, logger)
-	return one.Run(env.Context, env.Kill)
+	return r.Run(env.Context, env.Kill)
 }
 
-// watchReload checks the settings file when it is told that it has changed. A
-// running daemon keeps its addresses; what differs takes effect at its next
-// start, and is said so.
+// watchReload validates the settings file after each reload signal and logs the
+// result. A running daemon keeps its settings, such as its addresses. Changes take
+// effect at the next start.
 func watchReload(env *Environment, path string, before config.RouterSettings, logger *slog.Logger) {
 	for range env.Reload {
 		after, err := config.LoadRouterSettings(path)
 		switch {
 		case err != nil:
-			logger.Error("changed settings are not valid and are left alone", "error", err)
+			logger.Error("changed settings are not valid and are ignored", "error", err)
 		case after.Equal(before):
-			logger.Info("settings read again, nothing has changed")
+			logger.Info("settings reloaded without changes")
 		default:
-			logger.Warn("settings have changed; they take effect at the next start")
+			logger.Warn("settings have changed and take effect at the next start")
 		}
 	}
 }
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -15,13 +15,14 @@
 	"github.com/plankridge/plankridge/internal/network"
 )
 
-// Logger returns the logger of the long-running commands.
+// Logger returns the logger of long-running commands. It writes JSON lines to
+// standard error.
 func Logger(env *Environment, level slog.Level) *slog.Logger {
 	return slog.New(slog.NewJSONHandler(env.Stderr, &slog.HandlerOptions{Level: level}))
 }
 
-// Serve runs one daemon until the context ends, then shuts it down
-// gracefully.
+// Serve runs a daemon until env.Context is done and then shuts it down gracefully.
+// Router settings start a router, other settings a daemon.Daemon.
 func Serve(env *Environment, settingsPath string) error {
 	if settingsPath == "" {
 		return &UsageError{Message: "--settings is missing: the YAML file with the daemon's settings"}
@@ -37,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	one, err := daemon.New(daemon.Options{
+	d, err := daemon.New(daemon.Options{
 		Settings: settings,
 		Network:  network.TCP{},
 		Logger:   Logger(env, slog.LevelInfo),
@@ -45,20 +46,21 @@
 	if err != nil {
 		return err
 	}
-	return one.Run(env.Context, env.Kill)
+	return d.Run(env.Context, env.Kill)
 }
 
-// DevOptions are the flags of dev.
+// DevOptions holds the flags of the dev command.
 type DevOptions struct {
 	Example string
 	Listen  string
 	Verbose bool
 }
 
-// devListLag is how late the VM list of dev shows a change.
+// devListLag is the delay until the dev command's VM list shows a change.
 const devListLag = time.Second
 
-// Dev runs a whole deployment with stand-ins in this process.
+// Dev runs a complete deployment in this process, with stand-ins for the external
+// systems, until env.Context is done.
 func Dev(env *Environment, options DevOptions) error {
 	level := slog.LevelWarn
 	if options.Verbose {
@@ -109,14 +111,15 @@
 		d.StandIns.CloudURL, d.Nodes[0].Daemon.VM().Zone)
 }
 
-// sampleCaller returns a workspace of the sample and a model that it may call.
+// sampleCaller returns a workspace of the sample deployment and a model that the
+// workspace may call, or empty names if there is none.
 func sampleCaller(d *dev.Deployment) (workspace, model string) {
-	wanted := d.StandIns.Wanted()
-	for _, service := range wanted.Services {
+	desired := d.StandIns.Wanted()
+	for _, service := range desired.Services {
 		if service.Kind != config.KindModel {
 			continue
 		}
-		for _, candidate := range wanted.Workspaces {
+		for _, candidate := range desired.Workspaces {
 			if candidate.MayCall(service.Name) {
 				return candidate.Name, service.Name
 			}
--- a/internal/cli/show.go
+++ b/internal/cli/show.go
@@ -17,7 +17,8 @@
 	"github.com/plankridge/plankridge/internal/vmlist"
 )
 
-// Get prints the current deployment as a file that can be applied again.
+// Get prints the current deployment. The YAML output can be applied again as a
+// file.
 func Get(env *Environment, operator Operator) error {
 	client, err := operator.Client()
 	if err != nil {
@@ -38,7 +39,8 @@
 	return printDocument(&asYAML, document.Deployment)
 }
 
-// Status prints the daemons and the backend servers.
+// Status prints the status of the daemons and the number of backend servers of each
+// service.
 func Status(env *Environment, operator Operator) error {
 	client, err := operator.Client()
 	if err != nil {
@@ -72,7 +74,8 @@
 	_ = table.Flush()
 }
 
-// burnReport is the report of burn rates.
+// burnReport is the output of ReportBurn. Rows are sorted by the burn rate in the
+// first window, highest first.
 type burnReport struct {
 	Windows []string  `json:"windows"`
 	Rows    []burnRow `json:"rows"`
@@ -87,8 +90,8 @@
 	Rates     []float64 `json:"rates"`
 }
 
-// ReportBurn prints how fast each service and workspace burns its error
-// budget. A rate of one spends the budget exactly.
+// ReportBurn prints the error budget burn rate of each service and workspace. At a
+// rate of one, the error budget lasts exactly for the period of the objective.
 func ReportBurn(env *Environment, operator Operator) error {
 	client, err := operator.Client()
 	if err != nil {
@@ -105,12 +108,12 @@
 func newBurnReport(response operatorapi.BurnResponse) burnReport {
 	report := burnReport{Windows: response.Windows, Rows: []burnRow{}}
 	for _, row := range response.Rows {
-		next := burnRow{Service: row.Service, Workspace: row.Workspace, Objective: row.Objective}
+		reportRow := burnRow{Service: row.Service, Workspace: row.Workspace, Objective: row.Objective}
 		for _, count := range row.Counts {
-			next.Rates = append(next.Rates, count.Rate(row.Objective))
-			next.Good, next.Bad = count.Good, count.Bad
+			reportRow.Rates = append(reportRow.Rates, count.Rate(row.Objective))
+			reportRow.Good, reportRow.Bad = count.Good, count.Bad
 		}
-		report.Rows = append(report.Rows, next)
+		report.Rows = append(report.Rows, reportRow)
 	}
 	slices.SortStableFunc(report.Rows, func(a, b burnRow) int { return cmp.Compare(b.Rates[0], a.Rates[0]) })
 	return report
@@ -133,16 +136,18 @@
 	_ = table.Flush()
 }
 
-// ReplayOptions are the flags of replay.
+// ReplayOptions holds the arguments of the replay command.
 type ReplayOptions struct {
 	Trace string
 	URL   string
 	Speed float64
-	// Operator, when its URL is set, tells the price of the backend VMs.
+	// Operator is the operator API from which the price of the backend VMs is read.
+	// Without a URL, the price is zero.
 	Operator Operator
 }
 
-// Replay sends a trace and prints one JSON summary.
+// Replay sends the requests of a trace and prints a summary as JSON. It fails if an
+// outcome stated in the trace does not hold.
 func Replay(env *Environment, options ReplayOptions) error {
 	if options.Trace == "" || options.URL == "" {
 		return &UsageError{Message: "replay needs a trace and --url"}
@@ -178,7 +183,8 @@
 	return nil
 }
 
-// fleetPrice returns the price per hour of the runners of the deployment.
+// fleetPrice returns the price per hour of the runners in the current deployment, or
+// zero if operator has no URL.
 func fleetPrice(env *Environment, operator Operator) (float64, error) {
 	if operator.URL == "" {
 		return 0, nil
