--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,6 +1,5 @@
-// Package dev runs a whole deployment inside one process: the stand-ins of
-// every outside system, the daemons of three availability zones and a
-// balancer.
+// Package dev runs a complete deployment in one process: stand-ins for all external
+// systems, the daemons of three availability zones and a load balancer.
 package dev
 
 import (
@@ -25,40 +24,41 @@
 // daemonsPerZone is the number of entry VMs in each availability zone.
 const daemonsPerZone = 2
 
-// Ports of a daemon whose VM has an address of its own.
+// Ports of a daemon on a VM with its own IP address.
 const (
 	callerPort   = 8080
 	peerPort     = 9080
 	operatorPort = 7080
 )
 
-// Options choose what runs.
+// Options configures a deployment.
 type Options struct {
-	// Example names the sample files to apply.
+	// Example is the name of the sample deployment to apply.
 	Example string
 	Logger  *slog.Logger
-	// ListLag is how late the VM list shows a change.
+	// ListLag is the delay until the VM list shows a change.
 	ListLag time.Duration
 	Hosts   HostAllocator
-	// Instant makes the backend servers answer at once and takes the limits of
-	// the workspaces away, for benchmarks of the daemons.
+	// Instant removes the simulated processing time of plain services, the decode
+	// interval of engines, and the limits of workspaces. It is for benchmarks of the
+	// daemons.
 	Instant bool
-	// Adjust, when not nil, changes the settings of each daemon.
+	// Adjust, if not nil, modifies the settings of each daemon before it starts.
 	Adjust func(*config.Settings)
-	// Ends, when not nil, reports whether a backend server ends when it runs a request with a
-	// body. Another one starts in its place.
+	// CrashesOn, if not nil, reports whether a backend server of the service crashes
+	// when it runs a request with the body. A crashed server is replaced.
 	CrashesOn func(service string, body []byte) bool
-	// OnViolation is called when the program breaks an invariant.
+	// OnViolation is called when a daemon violates an invariant.
 	OnViolation func(error)
 }
 
 // Deployment is a running deployment.
 type Deployment struct {
-	// StandIns are the stand-ins of the outside systems.
+	// StandIns are the stand-ins for the external systems.
 	StandIns *StandIns
 	// Nodes are the entry VMs of all availability zones.
 	Nodes []*Node
-	// URL is where callers send requests, once Balance has been called.
+	// URL is the base URL for callers. It is set by StartBalancer.
 	URL string
 
 	options      Options
@@ -66,7 +66,7 @@
 	stopFuncs    []func()
 }
 
-// Node is an entry VM with its daemon.
+// Node is an entry VM and the daemon that runs on it.
 type Node struct {
 	Daemon *daemon.Daemon
 	Host   Host
@@ -77,10 +77,10 @@
 	err   error
 }
 
-// Drain begins the graceful shutdown of the daemon, as SIGTERM does.
+// Drain starts the graceful shutdown of the daemon, like SIGTERM.
 func (n *Node) Drain() { n.drain() }
 
-// Kill ends the daemon at once.
+// Kill stops the daemon immediately and waits until it has ended.
 func (n *Node) Kill() {
 	n.kill()
 	<-n.done
@@ -102,28 +102,28 @@
 	return n.err
 }
 
-// Start runs a deployment until Stop is called. The sample is applied; daemons
-// may need a moment to take it over.
+// Start starts a deployment and applies the sample to it. It may return before the
+// daemons have received the sample; see WaitReady. Stop ends the deployment.
 func Start(ctx context.Context, options Options) (*Deployment, error) {
 	sample, err := examples.Files(options.Example)
 	if err != nil {
 		return nil, err
 	}
-	wanted, err := config.Load(sample)
+	desired, err := config.Load(sample)
 	if err != nil {
 		return nil, err
 	}
 	if options.Instant {
-		for i := range wanted.Workspaces {
-			wanted.Workspaces[i].Limits = config.Limits{}
+		for i := range desired.Workspaces {
+			desired.Workspaces[i].Limits = config.Limits{}
 		}
 	}
-	standIns, err := StartStandIns(wanted, options)
+	standIns, err := StartStandIns(desired, options)
 	if err != nil {
 		return nil, err
 	}
 	d := &Deployment{StandIns: standIns, options: options, operatorHost: options.Hosts.NewHost()}
-	for _, zone := range wanted.Zones {
+	for _, zone := range desired.Zones {
 		for i := range daemonsPerZone {
 			id := fmt.Sprintf("%s-entry-%d", zone.Name, i+1)
 			if _, err := d.StartNode(id, zone.Name, options.Hosts.NewHost()); err != nil {
@@ -132,50 +132,51 @@
 			}
 		}
 	}
-	if _, err := d.Publisher().Apply(ctx, wanted, 0, "dev"); err != nil {
+	if _, err := d.Publisher().Apply(ctx, desired, 0, "dev"); err != nil {
 		d.Stop()
 		return nil, eris.Wrap(err, "apply sample")
 	}
 	return d, nil
 }
 
-// Publisher returns a publisher that applies to the platform directly.
+// Publisher returns a publisher that writes deployments to the object store
+// directly, without a daemon.
 func (d *Deployment) Publisher() *generation.Publisher {
 	client := &http.Client{Transport: network.Transport(d.operatorHost.Network, true)}
 	return generation.NewPublisher(generation.Values(platform.NewStore(d.StandIns.ObjectsURL, client)))
 }
 
-// StartNode starts a daemon on an entry VM and puts it into the VM list.
+// StartNode starts a daemon on an entry VM and adds the VM to the VM list.
 func (d *Deployment) StartNode(id, zone string, host Host) (*Node, error) {
 	settings := d.StandIns.Settings(id, zone, host)
 	if d.options.Adjust != nil {
 		d.options.Adjust(&settings)
 	}
-	one, err := daemon.New(daemon.Options{
+	newDaemon, err := daemon.New(daemon.Options{
 		Settings: settings, Network: host.Network, Logger: d.options.Logger, OnViolation: d.options.OnViolation,
 	})
 	if err != nil {
 		return nil, err
 	}
-	serving, drain := context.WithCancel(context.Background())
-	killing, kill := context.WithCancel(context.Background())
-	node := &Node{Daemon: one, Host: host, drain: drain, kill: kill, done: make(chan struct{})}
+	serveCtx, drain := context.WithCancel(context.Background())
+	killCtx, kill := context.WithCancel(context.Background())
+	node := &Node{Daemon: newDaemon, Host: host, drain: drain, kill: kill, done: make(chan struct{})}
 	d.Nodes = append(d.Nodes, node)
-	d.StandIns.Fleet.Add(one.VM(), node.Kill)
+	d.StandIns.Fleet.Add(newDaemon.VM(), node.Kill)
 	go func() {
 		defer close(node.done)
-		node.err = one.Run(serving, killing)
+		node.err = newDaemon.Run(serveCtx, killCtx)
 	}()
 	return node, nil
 }
 
-// WaitReady waits until every daemon has the applied deployment.
+// WaitReady waits until all daemons are ready, which requires a deployment.
 func (d *Deployment) WaitReady(ctx context.Context) error {
-	const poll = 20 * time.Millisecond
+	const pollInterval = 20 * time.Millisecond
 	for _, node := range d.Nodes {
 		for !node.Daemon.Ready() {
 			select {
-			case <-time.After(poll):
+			case <-time.After(pollInterval):
 			case <-ctx.Done():
 				return eris.Wrap(ctx.Err(), "deployment is not ready")
 			}
@@ -184,8 +185,8 @@
 	return nil
 }
 
-// StartBalancer puts a balancer before the daemons. It returns when the balancer
-// has found them ready.
+// StartBalancer starts a load balancer for the caller APIs of the daemons. It returns
+// after the balancer's first readiness check.
 func (d *Deployment) StartBalancer(listen string) error {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -205,12 +206,12 @@
 	return nil
 }
 
-// OperatorURL returns the operator API of the first daemon.
+// OperatorURL returns the URL of the first daemon's operator API.
 func (d *Deployment) OperatorURL() string {
 	return "http://" + d.Nodes[0].Daemon.VM().OperatorAddress
 }
 
-// Stop ends everything at once.
+// Stop stops the balancer, the daemons and the stand-ins immediately.
 func (d *Deployment) Stop() {
 	for _, stop := range d.stopFuncs {
 		stop()
--- a/internal/dev/plane.go
+++ b/internal/dev/plane.go
@@ -9,22 +9,23 @@
 	"github.com/plankridge/plankridge/internal/standin/memnet"
 )
 
-// HostAllocator gives each VM its place on a network.
+// HostAllocator allocates a network address for each VM.
 type HostAllocator interface {
-	// NewHost returns the place of the next VM.
+	// NewHost returns the host for the next VM.
 	NewHost() Host
 }
 
-// Host is the place of one VM on a network.
+// Host is the network interface of a VM.
 type Host struct {
 	Network network.Network
 	IP      string
-	// fixedPorts says that every VM has an IP of its own, so that ports need
-	// not be free ones.
+	// fixedPorts is set if each VM has its own IP address, so that the requested
+	// ports can be used. Otherwise any free port is used.
 	fixedPorts bool
 }
 
-// Address returns the IP:port to listen on.
+// Address returns the address to listen on as IP:port. The port is zero, which
+// selects a free port, unless fixedPorts is set.
 func (h Host) Address(port int) string {
 	if !h.fixedPorts {
 		port = 0
@@ -32,15 +33,15 @@
 	return h.IP + ":" + strconv.Itoa(port)
 }
 
-// Loopback is the plane of the dev command: every VM shares the loopback
-// address and takes free ports.
+// Loopback is the HostAllocator of the dev command. All VMs share the loopback
+// address and listen on free ports.
 type Loopback struct{}
 
 // NewHost implements Plane.
 func (Loopback) NewHost() Host { return Host{Network: network.TCP{}, IP: "127.0.0.1"} }
 
-// Memory is the plane of the failure tests: every VM has an address of its
-// own on an in-memory network.
+// Memory is the HostAllocator of the failure tests. Each VM has its own IP address
+// on an in-memory network.
 type Memory struct {
 	Net *memnet.Net
 
--- a/internal/dev/standins.go
+++ b/internal/dev/standins.go
@@ -22,8 +22,7 @@
 	"github.com/plankridge/plankridge/platform/fake"
 )
 
-// Sizes of the stand-ins. They are round assumptions, not measurements of a
-// real system.
+// Parameters of the stand-ins. They do not represent a particular real system.
 const (
 	engineCacheBlocks         = 4096
 	engineReportLag           = 500 * time.Millisecond
@@ -32,12 +31,13 @@
 	weightStoreBytesPerSecond = 2 << 30
 )
 
-// StandIns are the stand-ins of every outside system, on loopback addresses.
+// StandIns holds the stand-ins for all external systems, each on a host of its own.
 type StandIns struct {
 	Store   *fake.Store
 	Fleet   *fleet.Fleet
 	Weights *weightstore.Server
-	// Ledgers count the runs of each plain service's references.
+	// Ledgers holds a ledger for each plain service, by service name. It counts the
+	// runs of each reference.
 	Ledgers map[string]*plainservice.Ledger
 
 	ObjectsURL string
@@ -61,14 +61,14 @@
 	return slices.Collect(maps.Values(s.engines))
 }
 
-// Engine returns the model engine on a VM, or nil.
+// Engine returns the model engine on a VM, or nil if there is none.
 func (s *StandIns) Engine(vm string) *modelengine.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.engines[vm]
 }
 
-// PlainServers returns the servers of plain services started so far.
+// PlainServers returns the plain service servers started so far.
 func (s *StandIns) PlainServers() []*plainservice.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +117,7 @@
 	return s, nil
 }
 
-// backendPort is the port of a stand-in whose VM has an address of its own.
+// backendPort is the port of a stand-in on a VM with its own IP address.
 const backendPort = 8000
 
 func serve(host Host, handler http.Handler) (string, *http.Server, error) {
@@ -130,7 +130,7 @@
 	return listener.Addr().String(), server, nil
 }
 
-// startRunners starts a backend server for each runner of the deployment.
+// startRunners starts the backend servers of the deployment's runner pools.
 func (s *StandIns) startRunners() error {
 	for _, service := range s.wanted.Services {
 		for p, pool := range service.Runners {
@@ -151,7 +151,8 @@
 	return nil
 }
 
-// launchBackend starts the process of a backend server.
+// launchBackend starts the HTTP server of a backend VM and returns its address and a
+// function that stops it.
 func (s *StandIns) launchBackend(vm vmlist.VM) (string, func(), error) {
 	handler, err := s.backendHandler(vm)
 	if err != nil {
@@ -168,13 +169,14 @@
 }
 
 const (
-	// crashDelay is how long a server runs a request that ends it, replacementBootTime how long it takes
-	// until another one runs in its place.
+	// crashDelay is how long a server runs a request before the request crashes it.
+	// replacementBootTime is the time until a replacement server starts.
 	crashDelay          = 60 * time.Millisecond
 	replacementBootTime = 2 * time.Second
 )
 
-// crashOn ends a server under requests that end servers.
+// crashOn wraps a server's handler so that requests selected by CrashesOn crash the
+// server.
 func (s *StandIns) crashOn(vm vmlist.VM, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -192,13 +194,13 @@
 	})
 }
 
-// replaceServer ends a server and starts another one in its place.
+// replaceServer kills a server and starts a replacement after replacementBootTime.
 func (s *StandIns) replaceServer(vm vmlist.VM) {
 	s.Fleet.Kill(vm.ID)
 	time.Sleep(replacementBootTime)
 	order := cloud.StartOrder{OrderID: "instead-of-" + vm.ID, Zone: vm.Zone, Class: vm.Class, Market: config.Market(vm.Market), Service: vm.Service}
 	if _, err := s.Fleet.Start(order); err != nil {
-		s.options.Logger.Error("no server in place of one that ended", "server", vm.ID, "error", err)
+		s.options.Logger.Error("cannot start replacement for crashed server", "server", vm.ID, "error", err)
 	}
 }
 
@@ -222,7 +224,7 @@
 		s.engines[vm.ID] = server
 		return server, nil
 	}
-	return nil, eris.Errorf("no service is called %q", vm.Service)
+	return nil, eris.Errorf("service %q does not exist in the deployment", vm.Service)
 }
 
 func (s *StandIns) plainWorkDuration() time.Duration {
@@ -232,7 +234,7 @@
 	return plainWorkTime
 }
 
-// EngineConfig returns the stand-in engine of a model service.
+// EngineConfig returns the configuration of the stand-in engine for a model service.
 func EngineConfig(service *config.Service) modelengine.Config {
 	return modelengine.Config{
 		PrefillRate:    service.Model.PrefillRate,
@@ -244,7 +246,7 @@
 	}
 }
 
-// Settings returns the settings of a daemon of the deployment.
+// Settings returns the settings for a daemon of the deployment.
 func (s *StandIns) Settings(id, zone string, host Host) config.Settings {
 	settings := config.DefaultSettings()
 	settings.Daemon = config.DaemonIdentity{ID: id, Zone: zone}
@@ -258,7 +260,7 @@
 	return settings
 }
 
-// Close ends every stand-in and backend server.
+// Close stops all stand-ins and backend servers.
 func (s *StandIns) Close() {
 	s.Fleet.KillAll()
 	for _, server := range s.servers {
@@ -266,5 +268,5 @@
 	}
 }
 
-// Wanted returns the deployment that the stand-ins were started for.
+// Wanted returns the deployment for which the stand-ins were started.
 func (s *StandIns) Wanted() *config.Deployment { return s.wanted }
