--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -1,6 +1,5 @@
-// Package httpjson is the small HTTP/JSON exchange that the clients of the
-// outside systems share: one call, one JSON answer, and an error that says
-// whether the call may have taken effect.
+// Package httpjson implements the HTTP/JSON calls that the clients of external
+// systems share. A call's error shows whether the call may have taken effect.
 package httpjson
 
 import (
@@ -17,45 +16,45 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxResponseBytes bounds the size of an answer in bytes.
+// maxResponseBytes bounds how much of a response body is read.
 const maxResponseBytes = 16 << 20
 
-// StatusError is an answer whose status is not 2xx.
+// StatusError is returned for a response whose status is not 2xx.
 type StatusError struct {
 	Status int
 	Body   string
 }
 
-// Error names the status and the body.
+// Error implements error. It returns the status and the body.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("status %d: %s", e.Status, e.Body)
 }
 
-// ErrNotSent means that no byte of the call has left this process, so that it
-// cannot have taken effect.
+// ErrNotSent means that no byte of the request has been sent, so that the call cannot
+// have taken effect.
 var ErrNotSent = errors.New("call was not sent")
 
-// RawBody takes an answer as it is, for a caller that decodes it itself.
+// RawBody receives a response body without decoding it. Pass a *RawBody as out.
 type RawBody []byte
 
-// Client calls one endpoint.
+// Client calls the HTTP API at a base URL.
 type Client struct {
-	// Base is the endpoint's URL without a trailing slash.
+	// Base is the base URL without a trailing slash.
 	Base string
-	// Token is sent as a bearer token when it is not empty.
+	// Token is sent as a bearer token unless it is empty.
 	Token string
-	// HTTP is the client used; http.DefaultClient when nil.
+	// HTTP is the HTTP client. If nil, http.DefaultClient is used.
 	HTTP *http.Client
 }
 
-// Call sends in as JSON, when it is not nil, and decodes the answer into out,
-// when that is not nil. It returns a *StatusError for other statuses than 2xx.
-// An error that wraps ErrNotSent had no effect; any other error may have had.
+// Call sends in as JSON unless it is nil, and decodes the response into out unless
+// that is nil. It returns a *StatusError if the status is not 2xx. If the error wraps
+// ErrNotSent, the call had no effect. After any other error it may have had one.
 func (c *Client) Call(ctx context.Context, method, path string, in, out any) error {
 	return c.CallWithHeader(ctx, method, path, nil, in, out)
 }
 
-// CallWithHeader is Call with headers of the caller's.
+// CallWithHeader is like Call and sends additional request headers.
 func (c *Client) CallWithHeader(ctx context.Context, method, path string, header http.Header, in, out any) error {
 	ctx, sent := traceSent(ctx)
 	req, err := c.newRequest(ctx, method, path, header, in)
@@ -67,7 +66,7 @@
 		if !sent.Load() {
 			return fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
-		return eris.Wrap(err, "call")
+		return eris.Wrap(err, "send request")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	return decodeResponse(resp, out)
@@ -79,13 +78,13 @@
 	if in != nil {
 		raw, err := json.Marshal(in)
 		if err != nil {
-			return nil, eris.Wrap(err, "encode call")
+			return nil, eris.Wrap(err, "encode request body")
 		}
 		body, size = opaqueReader{bytes.NewReader(raw)}, int64(len(raw))
 	}
 	req, err := http.NewRequestWithContext(ctx, method, c.Base+path, body)
 	if err != nil {
-		return nil, eris.Wrap(err, "make call")
+		return nil, eris.Wrap(err, "create request")
 	}
 	req.ContentLength = size
 	for name, values := range header {
@@ -103,7 +102,7 @@
 func decodeResponse(resp *http.Response, out any) error {
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return eris.Wrap(err, "read answer")
+		return eris.Wrap(err, "read response body")
 	}
 	if resp.StatusCode < 200 || resp.StatusCode > 299 {
 		return &StatusError{Status: resp.StatusCode, Body: string(bytes.TrimSpace(raw))}
@@ -111,12 +110,12 @@
 	if out == nil || len(raw) == 0 {
 		return nil
 	}
-	if whole, ok := out.(*RawBody); ok {
-		*whole = raw
+	if rawBody, ok := out.(*RawBody); ok {
+		*rawBody = raw
 		return nil
 	}
 	if err := json.Unmarshal(raw, out); err != nil {
-		return eris.Wrap(err, "decode answer")
+		return eris.Wrap(err, "decode response body")
 	}
 	return nil
 }
@@ -128,19 +127,19 @@
 	return http.DefaultClient
 }
 
-// traceSent returns a context that records whether a connection was obtained;
-// before that nothing can have been sent.
+// traceSent returns a context that records whether a request using it obtained a
+// connection. Before that, no byte can have been sent.
 func traceSent(ctx context.Context) (context.Context, *atomic.Bool) {
 	sent := &atomic.Bool{}
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
 	return httptrace.WithClientTrace(ctx, trace), sent
 }
 
-// opaqueReader hides the concrete reader, so that the HTTP transport cannot
-// rewind the body and send a call a second time by itself.
+// opaqueReader hides the concrete type of a reader. The HTTP transport then cannot
+// rewind the body, and so does not retry a request by itself.
 type opaqueReader struct{ io.Reader }
 
-// IsStatus reports whether err is an answer with the given status.
+// IsStatus reports whether err is a *StatusError with the given status.
 func IsStatus(err error, status int) bool {
 	var statusErr *StatusError
 	return errors.As(err, &statusErr) && statusErr.Status == status
