--- a/internal/network/network.go
+++ b/internal/network/network.go
@@ -1,6 +1,5 @@
-// Package network is the interface through which daemons listen and dial, so
-// that the same daemon runs over TCP and over the in-memory network of the
-// failure tests.
+// Package network defines the interface through which daemons listen and dial. The
+// same daemon can run on TCP and on the in-memory network of the failure tests.
 package network
 
 import (
@@ -14,20 +13,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Network listens on and dials addresses of the form IP:port.
+// Network listens on and dials addresses in the form IP:port.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	Dial(ctx context.Context, address string) (net.Conn, error)
-	// ListenPacket opens a port for datagrams. They are sent to addresses as
-	// ResolvePacket returns them.
+	// ListenPacket opens a socket for datagrams. Destination addresses must come
+	// from ResolvePacket.
 	ListenPacket(address string) (net.PacketConn, error)
 	ResolvePacket(address string) (net.Addr, error)
 }
 
-// dialTimeout bounds the opening of a TCP connection.
+// dialTimeout bounds the establishment of a TCP connection.
 const dialTimeout = 2 * time.Second
 
-// TCP is the network of the operating system.
+// TCP is the operating system's network: TCP for connections, UDP for datagrams.
 type TCP struct{}
 
 // Listen implements Network.
@@ -51,20 +50,21 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// A peer behind a partition, or without power, says nothing. These find it out
-// within about two seconds on a connection that waits (probes) and on one that
-// has sent (unacknowledged).
+// A host that is partitioned or has lost power does not close its connections. Both
+// settings detect this within about two seconds: keepAliveProbes on an idle
+// connection, unacknowledgedTimeout on one with unacknowledged data.
 const unacknowledgedTimeout = 2 * time.Second
 
 var keepAliveProbes = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
 
-// setUserTimeout bounds how long sent bytes may stay unacknowledged.
+// setUserTimeout sets TCP_USER_TIMEOUT, which bounds how long sent data may stay
+// unacknowledged.
 func setUserTimeout(_, _ string, conn syscall.RawConn) error {
-	var failed error
+	var sockoptErr error
 	err := conn.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
+		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, sockoptErr)
 }
 
 const (
@@ -72,16 +72,16 @@
 	idleConnTimeout     = time.Minute
 )
 
-// Transport returns an HTTP transport that dials through n. A fresh transport
-// opens a connection for each request and never sends a request twice.
-func Transport(n Network, fresh bool) *http.Transport {
+// Transport returns an HTTP transport that dials through n. With newConnPerRequest,
+// connections are not reused, and so the transport never retries a request.
+func Transport(n Network, newConnPerRequest bool) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 			return n.Dial(ctx, address)
 		},
 		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     idleConnTimeout,
-		DisableKeepAlives:   fresh,
+		DisableKeepAlives:   newConnPerRequest,
 		DisableCompression:  true,
 	}
 }
