--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -286,8 +286,8 @@
 	return request.ID(id).Tag() == request.DaemonTag(d.settings.Daemon.ID)
 }
 
-// Copies returns the number of request copies that the daemon holds for other
-// daemons.
+// Copies returns the number of requests of other daemons of which this daemon holds
+// a copy.
 func (d *Daemon) Copies() int {
 	copies, _ := d.mesh.Copies()
 	return copies
