--- a/cmd/plankridge/flags.go
+++ b/cmd/plankridge/flags.go
@@ -37,7 +37,7 @@
 	settings  string
 	files     []string
 	daemons   []string
-	operator  cli.Operator
+	operator  cli.OperatorEndpoint
 	basedOn   int64
 	dryRun    bool
 	wait      bool
@@ -188,7 +188,7 @@
 	sub.String(&f.operators, "p", "operators", "operator API of any daemon, for the cost")
 	return subcommand{sub, func(env *cli.Environment) error {
 		return cli.Replay(env, cli.ReplayOptions{
-			Trace: f.trace, URL: f.replayURL, Speed: f.speed, Operator: cli.Operator{URL: f.operators},
+			Trace: f.trace, URL: f.replayURL, Speed: f.speed, Operator: cli.OperatorEndpoint{URL: f.operators},
 		})
 	}}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -141,9 +141,9 @@
 	return nil
 }
 
-// Operator holds the URL of the operator API and the path of the file with its
+// OperatorEndpoint holds the URL of the operator API and the path of the file with its
 // token. Without a file, the token is read from TokenVariable.
-type Operator struct {
+type OperatorEndpoint struct {
 	URL       string
 	TokenFile string
 }
@@ -156,7 +156,7 @@
 const TokenVariable = "PLANKRIDGE_OPERATOR_TOKEN"
 
 // Client returns a client of the operator API, or a *UsageError if the URL is empty.
-func (o Operator) Client() (*operatorapi.Client, error) {
+func (o OperatorEndpoint) Client() (*operatorapi.Client, error) {
 	if o.URL == "" {
 		return nil, &UsageError{Message: "--url is missing: the operator API of any daemon, such as http://10.0.0.4:7080"}
 	}
--- a/internal/cli/files.go
+++ b/internal/cli/files.go
@@ -42,7 +42,7 @@
 
 // ApplyOptions holds the flags of the apply command.
 type ApplyOptions struct {
-	Operator Operator
+	Operator OperatorEndpoint
 	Files    []string
 	// BasedOn is the generation that the files modify. A negative value stands for
 	// the current generation.
@@ -125,7 +125,7 @@
 }
 
 // Diff prints the changes from the current deployment to the files.
-func Diff(env *Environment, operator Operator, paths []string) error {
+func Diff(env *Environment, operator OperatorEndpoint, paths []string) error {
 	if len(paths) == 0 {
 		return &UsageError{Message: "--file is missing: a YAML file or a folder of them"}
 	}
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -114,7 +114,7 @@
 // sampleCaller returns a workspace of the sample deployment and a model that the
 // workspace may call, or empty names if there is none.
 func sampleCaller(d *dev.Deployment) (workspace, model string) {
-	desired := d.StandIns.Wanted()
+	desired := d.StandIns.Deployment()
 	for _, service := range desired.Services {
 		if service.Kind != config.KindModel {
 			continue
--- a/internal/cli/show.go
+++ b/internal/cli/show.go
@@ -19,7 +19,7 @@
 
 // Get prints the current deployment. The YAML output can be applied again as a
 // file.
-func Get(env *Environment, operator Operator) error {
+func Get(env *Environment, operator OperatorEndpoint) error {
 	client, err := operator.Client()
 	if err != nil {
 		return err
@@ -41,7 +41,7 @@
 
 // Status prints the status of the daemons and the number of backend servers of each
 // service.
-func Status(env *Environment, operator Operator) error {
+func Status(env *Environment, operator OperatorEndpoint) error {
 	client, err := operator.Client()
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 
 // ReportBurn prints the error budget burn rate of each service and workspace. At a
 // rate of one, the error budget lasts exactly for the period of the objective.
-func ReportBurn(env *Environment, operator Operator) error {
+func ReportBurn(env *Environment, operator OperatorEndpoint) error {
 	client, err := operator.Client()
 	if err != nil {
 		return err
@@ -143,7 +143,7 @@
 	Speed float64
 	// Operator is the operator API from which the price of the backend VMs is read.
 	// Without a URL, the price is zero.
-	Operator Operator
+	Operator OperatorEndpoint
 }
 
 // Replay sends the requests of a trace and prints a summary as JSON. It fails if an
@@ -185,7 +185,7 @@
 
 // fleetPrice returns the price per hour of the runners in the current deployment, or
 // zero if operator has no URL.
-func fleetPrice(env *Environment, operator Operator) (float64, error) {
+func fleetPrice(env *Environment, operator OperatorEndpoint) (float64, error) {
 	if operator.URL == "" {
 		return 0, nil
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -53,18 +53,18 @@
 	logger   *slog.Logger
 	metrics  *prometheus.Registry
 
-	objects    store.Store
-	vms        vmlist.VMLister
-	cloud      *cloud.Client
-	registry   *discovery.Registry
-	limiter    *limit.Limiter
-	follower   *generation.Follower
-	dispatcher *dispatch.Dispatcher
-	burn       *burn.Recorder
-	mesh       *peer.Mesh
-	quarantine *watch.Watcher
-	keys       *keys.Manager
-	creds      *peer.Credentials
+	objectStore store.Store
+	vms         vmlist.VMLister
+	cloud       *cloud.Client
+	registry    *discovery.Registry
+	limiter     *limit.Limiter
+	follower    *generation.Follower
+	dispatcher  *dispatch.Dispatcher
+	burn        *burn.Recorder
+	mesh        *peer.Mesh
+	quarantine  *watch.Watcher
+	keys        *keys.Manager
+	credentials *peer.Credentials
 
 	draining         atomic.Bool
 	callerListener   net.Listener
@@ -91,7 +91,7 @@
 		d.closeListeners()
 		return nil, err
 	}
-	if err := d.build(options); err != nil {
+	if err := d.buildComponents(options); err != nil {
 		d.closeListeners()
 		return nil, err
 	}
@@ -125,7 +125,7 @@
 	}
 }
 
-func (d *Daemon) build(options Options) error {
+func (d *Daemon) buildComponents(options Options) error {
 	platformToken, err := d.settings.Platform.Token.Read()
 	if err != nil {
 		return err
@@ -134,17 +134,17 @@
 	if err != nil {
 		return err
 	}
-	d.creds, err = peer.NewCredentials(d.settings.Peers)
+	d.credentials, err = peer.NewCredentials(d.settings.Peers)
 	if err != nil {
 		return err
 	}
 	client := &http.Client{Transport: network.Transport(options.Network, false)}
 	endpoints := d.settings.Platform
-	d.objects = platform.NewStore(endpoints.Objects, client)
+	d.objectStore = platform.NewStore(endpoints.Objects, client)
 	d.vms = vmlist.NewClient(endpoints.VMs, platformToken, client)
 	d.cloud = cloud.NewClient(endpoints.Cloud, platformToken, client)
 	d.registry = discovery.NewRegistry(d.settings.Daemon.ID, d.logger)
-	d.follower = generation.NewFollower(generation.Values(d.objects), d.logger, d.metrics, d.registry, d.limiter)
+	d.follower = generation.NewFollower(generation.Values(d.objectStore), d.logger, d.metrics, d.registry, d.limiter)
 	d.quarantine = watch.New(watch.Options{
 		ReportInterval: func(time.Time) time.Duration { return peer.TriggeredHeartbeatDelay },
 		NotifyPeers:    func() { d.mesh.TriggerHeartbeats() },
@@ -153,7 +153,7 @@
 	d.mesh = peer.NewMesh(peer.Options{
 		Self:        d.VM(),
 		Network:     options.Network,
-		Credentials: d.creds.Client,
+		Credentials: d.credentials.Client,
 		Follower:    d.follower,
 		Copies:      backup.NewStore(d.settings.Limits.RequestCopyBytes),
 		Quarantine:  d.quarantine,
@@ -187,7 +187,7 @@
 	d.keys = keys.NewManager(keys.Options{
 		Self:       keys.Holder{Daemon: d.settings.Daemon.ID, Incarnation: d.mesh.Incarnation()},
 		Zone:       d.settings.Daemon.Zone,
-		Store:      store.NewValues(d.objects, keys.Kind),
+		Store:      store.NewValues(d.objectStore, keys.Kind),
 		Peers:      &peer.KeyPeers{Mesh: d.mesh, Dispatcher: d.dispatcher, KnownZones: d.zoneNames},
 		Dispatcher: d.dispatcher,
 		Logger:     d.logger,
@@ -219,11 +219,11 @@
 		ReadTimeout:       d.settings.Limits.ReadTimeout.Std(),
 		ErrorLog:          slog.NewLogLogger(d.logger.Handler(), slog.LevelDebug),
 	}
-	d.peerServer = grpc.NewServer(grpc.Creds(d.creds.Server), grpc.MaxRecvMsgSize(peer.MaxMessageBytes))
+	d.peerServer = grpc.NewServer(grpc.Creds(d.credentials.Server), grpc.MaxRecvMsgSize(peer.MaxMessageBytes))
 	peerpb.RegisterPeerServer(d.peerServer, peer.NewServer(d.mesh, d.dispatcher, d.follower, d.burn, d.keys))
 	operators := operatorapi.New(operatorapi.Options{
 		Token:     operatorToken,
-		Publisher: generation.NewPublisher(generation.Values(d.objects)),
+		Publisher: generation.NewPublisher(generation.Values(d.objectStore)),
 		Follower:  d.follower,
 		Registry:  d.registry,
 		Mesh:      d.mesh,
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -132,5 +132,5 @@
 	d.dispatcher.Stop()
 	_ = d.callerServer.Close()
 	_ = d.operatorServer.Close()
-	d.creds.Close()
+	d.credentials.Close()
 }
--- a/internal/dev/standins.go
+++ b/internal/dev/standins.go
@@ -45,13 +45,13 @@
 	CloudURL   string
 	WeightsURL string
 
-	wanted  *config.Deployment
-	options Options
-	servers []*http.Server
+	deployment *config.Deployment
+	options    Options
+	servers    []*http.Server
 
-	mu      sync.Mutex
-	engines map[string]*modelengine.Server
-	plain   []*plainservice.Server
+	mu           sync.Mutex
+	engines      map[string]*modelengine.Server
+	plainServers []*plainservice.Server
 }
 
 // Engines returns the model engines started so far.
@@ -72,18 +72,18 @@
 func (s *StandIns) PlainServers() []*plainservice.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.plain)
+	return slices.Clone(s.plainServers)
 }
 
 // StartStandIns starts the stand-ins and the backend servers of a deployment.
 func StartStandIns(wanted *config.Deployment, options Options) (*StandIns, error) {
 	s := &StandIns{
-		options: options,
-		Store:   fake.NewStore(),
-		Weights: weightstore.New(artifactBytes, weightStoreBytesPerSecond),
-		Ledgers: map[string]*plainservice.Ledger{},
-		engines: map[string]*modelengine.Server{},
-		wanted:  wanted,
+		options:    options,
+		Store:      fake.NewStore(),
+		Weights:    weightstore.New(artifactBytes, weightStoreBytesPerSecond),
+		Ledgers:    map[string]*plainservice.Ledger{},
+		engines:    map[string]*modelengine.Server{},
+		deployment: wanted,
 	}
 	s.Fleet = fleet.New(s.launchBackend)
 	for _, service := range wanted.Services {
@@ -101,7 +101,7 @@
 		{s.Weights, &s.WeightsURL},
 	}
 	for _, endpoint := range endpoints {
-		address, server, err := serve(options.Hosts.NewHost(), endpoint.handler)
+		address, server, err := serveStandIn(options.Hosts.NewHost(), endpoint.handler)
 		if err != nil {
 			s.Close()
 			return nil, err
@@ -120,7 +120,7 @@
 // backendPort is the port of a stand-in on a VM with its own IP address.
 const backendPort = 8000
 
-func serve(host Host, handler http.Handler) (string, *http.Server, error) {
+func serveStandIn(host Host, handler http.Handler) (string, *http.Server, error) {
 	listener, err := host.Network.Listen(host.Address(backendPort))
 	if err != nil {
 		return "", nil, eris.Wrap(err, "listen for stand-in")
@@ -132,7 +132,7 @@
 
 // startRunners starts the backend servers of the deployment's runner pools.
 func (s *StandIns) startRunners() error {
-	for _, service := range s.wanted.Services {
+	for _, service := range s.deployment.Services {
 		for p, pool := range service.Runners {
 			for i := range pool.Count {
 				_, err := s.Fleet.Start(cloud.StartOrder{
@@ -161,7 +161,7 @@
 	if s.options.CrashesOn != nil {
 		handler = s.crashOn(vm, handler)
 	}
-	address, server, err := serve(s.options.Hosts.NewHost(), handler)
+	address, server, err := serveStandIn(s.options.Hosts.NewHost(), handler)
 	if err != nil {
 		return "", nil, err
 	}
@@ -207,13 +207,13 @@
 func (s *StandIns) backendHandler(vm vmlist.VM) (http.Handler, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, service := range s.wanted.Services {
+	for _, service := range s.deployment.Services {
 		if service.Name != vm.Service {
 			continue
 		}
 		if service.Kind == config.KindPlain {
 			server := plainservice.New(s.Ledgers[vm.Service], s.plainWorkDuration())
-			s.plain = append(s.plain, server)
+			s.plainServers = append(s.plainServers, server)
 			return server, nil
 		}
 		engine := EngineConfig(&service)
@@ -268,5 +268,5 @@
 	}
 }
 
-// Wanted returns the deployment for which the stand-ins were started.
-func (s *StandIns) Wanted() *config.Deployment { return s.wanted }
+// Deployment returns the deployment for which the stand-ins were started.
+func (s *StandIns) Deployment() *config.Deployment { return s.deployment }
