--- a/internal/callerapi/answer.go
+++ b/internal/callerapi/answer.go
@@ -113,8 +113,8 @@
 	return a.answer(c, source, &spec, from.Offset)
 }
 
-// answer sends the response of a request in the format of its kind. A stream
-// resumes after the first after tokens.
+// answer sends the response of a request in the format of its kind. In a stream,
+// the number of tokens given by after is skipped.
 func (a *API) answer(c echo.Context, source dispatch.Source, spec *request.Spec, after int) error {
 	switch {
 	case spec.Kind == request.KindPlain:
--- a/internal/callerapi/fuzz_test.go
+++ b/internal/callerapi/fuzz_test.go
@@ -29,7 +29,7 @@
 		if err != nil {
 			var refused problemError
 			if !errors.As(err, &refused) || refused.problem.Outcome != request.OutcomeNotRun {
-				t.Fatalf("rejected with an error other than a problem with outcome not-run: %v", err)
+				t.Fatalf("got error %v, want a problem with outcome not-run", err)
 			}
 			return
 		}
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -21,7 +21,7 @@
 }
 
 // Explain prints what the logs record about one request or, with Summary, how many
-// requests failed for each cause.
+// requests were not served for each cause.
 func Explain(env *Environment, options ExplainOptions) error {
 	if options.RequestID == "" && !options.Summary {
 		return &UsageError{Message: "explain: name a request ID, or give --summary"}
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -12,9 +12,9 @@
 )
 
 // Run serves until ctx is done and then shuts down gracefully: it returns when
-// every accepted request has been answered. If the VM is reclaimed, it moves
-// unfinished requests to other daemons first. When kill is done, Run stops
-// immediately.
+// every accepted request has been answered. If the VM is about to be reclaimed, it
+// hands over unfinished requests to other daemons before the deadline. When kill is
+// done, Run stops immediately.
 func (d *Daemon) Run(ctx, kill context.Context) error {
 	loopCtx, stopLoops := context.WithCancel(context.WithoutCancel(ctx))
 	var background sync.WaitGroup
--- a/internal/dev/hosts.go
+++ b/internal/dev/hosts.go
@@ -37,7 +37,7 @@
 // address and listen on free ports.
 type Loopback struct{}
 
-// NewHost implements Plane.
+// NewHost implements HostAllocator.
 func (Loopback) NewHost() Host { return Host{Network: network.TCP{}, IP: "127.0.0.1"} }
 
 // Memory is the HostAllocator of the failure tests. Each VM has its own IP address
@@ -49,7 +49,7 @@
 	count int
 }
 
-// NewHost implements Plane.
+// NewHost implements HostAllocator.
 func (m *Memory) NewHost() Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/dev/standins.go
+++ b/internal/dev/standins.go
@@ -22,7 +22,8 @@
 	"github.com/plankridge/plankridge/platform/fake"
 )
 
-// Parameters of the stand-ins. They do not represent a particular real system.
+// Parameters of the stand-ins. They are round assumptions and do not represent a
+// particular real system.
 const (
 	engineCacheBlocks         = 4096
 	engineReportLag           = 500 * time.Millisecond
@@ -76,17 +77,17 @@
 }
 
 // StartStandIns starts the stand-ins and the backend servers of a deployment.
-func StartStandIns(wanted *config.Deployment, options Options) (*StandIns, error) {
+func StartStandIns(deployment *config.Deployment, options Options) (*StandIns, error) {
 	s := &StandIns{
 		options:    options,
 		Store:      fake.NewStore(),
 		Weights:    weightstore.New(artifactBytes, weightStoreBytesPerSecond),
 		Ledgers:    map[string]*plainservice.Ledger{},
 		engines:    map[string]*modelengine.Server{},
-		deployment: wanted,
+		deployment: deployment,
 	}
 	s.Fleet = fleet.New(s.launchBackend)
-	for _, service := range wanted.Services {
+	for _, service := range deployment.Services {
 		if service.Kind == config.KindPlain {
 			s.Ledgers[service.Name] = plainservice.NewLedger()
 		}
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -66,7 +66,7 @@
 		if !sent.Load() {
 			return fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
-		return eris.Wrap(err, "send request")
+		return eris.Wrap(err, "call")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	return decodeResponse(resp, out)
