--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -122,12 +122,12 @@
 	if c.Response().Committed {
 		return
 	}
-	var known problemError
+	var problemErr problemError
 	var httpError *echo.HTTPError
 	var p *problem
 	switch {
-	case errors.As(err, &known):
-		p = known.problem
+	case errors.As(err, &problemErr):
+		p = problemErr.problem
 	case errors.As(err, &httpError):
 		p = refuse(httpError.Code, strings.ToLower(http.StatusText(httpError.Code)))
 	default:
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -218,21 +218,21 @@
 // renderPlot plots the share of the worth earned over the day for the rows with the
 // highest net result.
 func renderPlot(rows []trialRow) string {
-	best := slices.SortedFunc(slices.Values(rows), func(a, b trialRow) int {
+	topRows := slices.SortedFunc(slices.Values(rows), func(a, b trialRow) int {
 		if a.Net > b.Net {
 			return -1
 		}
 		return 1
 	})
-	best = best[:min(len(best), maxPlottedRows)]
+	topRows = topRows[:min(len(topRows), maxPlottedRows)]
 	colours := []asciigraph.AnsiColor{asciigraph.Default, asciigraph.Red, asciigraph.Green, asciigraph.Blue, asciigraph.Yellow}
-	var lines [][]float64
+	var series [][]float64
 	var names []string
-	for _, r := range best {
-		lines = append(lines, r.shares)
+	for _, r := range topRows {
+		series = append(series, r.shares)
 		names = append(names, r.Day+" "+r.Routing+" "+r.Sizing)
 	}
-	return asciigraph.PlotMany(lines, asciigraph.Width(plotWidth), asciigraph.Height(plotHeight), asciigraph.LowerBound(0),
+	return asciigraph.PlotMany(series, asciigraph.Width(plotWidth), asciigraph.Height(plotHeight), asciigraph.LowerBound(0),
 		asciigraph.Caption("share of the worth earned, by time of arrival"),
-		asciigraph.SeriesColors(colours[:len(lines)]...), asciigraph.SeriesLegends(names...))
+		asciigraph.SeriesColors(colours[:len(series)]...), asciigraph.SeriesLegends(names...))
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -82,11 +82,11 @@
 			return err
 		}
 	}
-	named := 100.0
+	namedPercent := 100.0
 	if total > 0 {
-		named = 100 * float64(total-unknown) / float64(total)
+		namedPercent = 100 * float64(total-unknown) / float64(total)
 	}
-	return writeOutput(env.Stdout, "%7d  in all; the cause is named for %.1f%%\n", total, named)
+	return writeOutput(env.Stdout, "%7d  in all; the cause is named for %.1f%%\n", total, namedPercent)
 }
 
 func writeOutput(w io.Writer, format string, args ...any) error {
--- a/internal/operatorapi/api.go
+++ b/internal/operatorapi/api.go
@@ -250,11 +250,11 @@
 }
 
 func (a *API) burn(c echo.Context) error {
-	var sets [][]burn.Row
+	var rowsByDaemon [][]burn.Row
 	for _, daemon := range a.daemonStatuses(c.Request().Context()) {
-		sets = append(sets, daemon.Burn)
+		rowsByDaemon = append(rowsByDaemon, daemon.Burn)
 	}
-	response := BurnResponse{Rows: burn.Merge(sets...)}
+	response := BurnResponse{Rows: burn.Merge(rowsByDaemon...)}
 	for _, window := range burn.Windows {
 		response.Windows = append(response.Windows, window.String())
 	}
