--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -100,7 +100,7 @@
 	}
 	files, err := filepath.Glob(filepath.Join(path, "*.yaml"))
 	if err == nil && len(files) == 0 {
-		err = fmt.Errorf("%s: directory has no *.yaml files", path)
+		err = fmt.Errorf("%s: no file *.yaml", path)
 	}
 	return files, err
 }
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -65,10 +65,10 @@
 		return kill.Err()
 	}
 	if err := d.callerServer.Shutdown(kill); err != nil {
-		return eris.Wrap(err, "wait for caller connections to close")
+		return eris.Wrap(err, "wait for callers")
 	}
 	if err := d.dispatcher.Drain(kill); err != nil {
-		return eris.Wrap(err, "wait for requests to end")
+		return eris.Wrap(err, "wait for requests")
 	}
 	d.dispatcher.HandOverAnswers(kill)
 	d.releaseKeys(kill)
--- a/internal/dev/standins.go
+++ b/internal/dev/standins.go
@@ -225,7 +225,7 @@
 		s.engines[vm.ID] = server
 		return server, nil
 	}
-	return nil, eris.Errorf("service %q does not exist in the deployment", vm.Service)
+	return nil, eris.Errorf("no service is called %q", vm.Service)
 }
 
 func (s *StandIns) plainWorkDuration() time.Duration {
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -78,13 +78,13 @@
 	if in != nil {
 		raw, err := json.Marshal(in)
 		if err != nil {
-			return nil, eris.Wrap(err, "encode request body")
+			return nil, eris.Wrap(err, "encode call")
 		}
 		body, size = opaqueReader{bytes.NewReader(raw)}, int64(len(raw))
 	}
 	req, err := http.NewRequestWithContext(ctx, method, c.Base+path, body)
 	if err != nil {
-		return nil, eris.Wrap(err, "create request")
+		return nil, eris.Wrap(err, "make call")
 	}
 	req.ContentLength = size
 	for name, values := range header {
@@ -102,7 +102,7 @@
 func decodeResponse(resp *http.Response, out any) error {
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return eris.Wrap(err, "read response body")
+		return eris.Wrap(err, "read answer")
 	}
 	if resp.StatusCode < 200 || resp.StatusCode > 299 {
 		return &StatusError{Status: resp.StatusCode, Body: string(bytes.TrimSpace(raw))}
@@ -115,7 +115,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(raw, out); err != nil {
-		return eris.Wrap(err, "decode response body")
+		return eris.Wrap(err, "decode answer")
 	}
 	return nil
 }
