--- a/capacity/cost_test.go
+++ b/capacity/cost_test.go
@@ -148,7 +148,7 @@
 func startLoopback(b *testing.B) *dev.Deployment {
 	c := qt.New(b)
 	d, err := dev.Start(context.Background(), dev.Options{
-		Example: "ndiaye", Logger: slog.New(slog.DiscardHandler), Hosts: dev.Loopback{}, Instant: true,
+		Example: "ndiaye", Logger: slog.New(slog.DiscardHandler), Hosts: dev.Loopback{}, BenchmarkMode: true,
 	})
 	c.Assert(err, qt.IsNil)
 	b.Cleanup(d.Stop)
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -56,8 +56,8 @@
 	Verbose bool
 }
 
-// devListLag is the delay until the dev command's VM list shows a change.
-const devListLag = time.Second
+// devVMListLag is the delay until the dev command's VM list shows a change.
+const devVMListLag = time.Second
 
 // Dev runs a complete deployment in this process, with stand-ins for the external
 // systems, until env.Context is done.
@@ -69,7 +69,7 @@
 	deployment, err := dev.Start(env.Context, dev.Options{
 		Example: options.Example,
 		Logger:  Logger(env, level),
-		ListLag: devListLag,
+		ListLag: devVMListLag,
 		Hosts:   dev.Loopback{},
 	})
 	if err != nil {
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -39,10 +39,10 @@
 	// ListLag is the delay until the VM list shows a change.
 	ListLag time.Duration
 	Hosts   HostAllocator
-	// Instant removes the simulated processing time of plain services, the decode
+	// BenchmarkMode removes the simulated processing time of plain services, the decode
 	// interval of engines, and the limits of workspaces. It is for benchmarks of the
 	// daemons.
-	Instant bool
+	BenchmarkMode bool
 	// Adjust, if not nil, modifies the settings of each daemon before it starts.
 	Adjust func(*config.Settings)
 	// CrashesOn, if not nil, reports whether a backend server of the service crashes
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if options.Instant {
+	if options.BenchmarkMode {
 		for i := range desired.Workspaces {
 			desired.Workspaces[i].Limits = config.Limits{}
 		}
--- a/internal/dev/standins.go
+++ b/internal/dev/standins.go
@@ -27,7 +27,7 @@
 const (
 	engineCacheBlocks         = 4096
 	engineReportLag           = 500 * time.Millisecond
-	plainWorkTime             = 8 * time.Millisecond
+	simulatedPlainWork        = 8 * time.Millisecond
 	artifactBytes             = 24 << 30
 	weightStoreBytesPerSecond = 2 << 30
 )
@@ -118,11 +118,11 @@
 	return s, nil
 }
 
-// backendPort is the port of a stand-in on a VM with its own IP address.
-const backendPort = 8000
+// standInPort is the port of a stand-in on a VM with its own IP address.
+const standInPort = 8000
 
 func serveStandIn(host Host, handler http.Handler) (string, *http.Server, error) {
-	listener, err := host.Network.Listen(host.Address(backendPort))
+	listener, err := host.Network.Listen(host.Address(standInPort))
 	if err != nil {
 		return "", nil, eris.Wrap(err, "listen for stand-in")
 	}
@@ -218,7 +218,7 @@
 			return server, nil
 		}
 		engine := EngineConfig(&service)
-		if s.options.Instant {
+		if s.options.BenchmarkMode {
 			engine.DecodeInterval = 0
 		}
 		server := modelengine.New(engine)
@@ -229,10 +229,10 @@
 }
 
 func (s *StandIns) plainWorkDuration() time.Duration {
-	if s.options.Instant {
+	if s.options.BenchmarkMode {
 		return 0
 	}
-	return plainWorkTime
+	return simulatedPlainWork
 }
 
 // EngineConfig returns the configuration of the stand-in engine for a model service.
