--- a/internal/router/allowances.go
+++ b/internal/router/allowances.go
@@ -24,19 +24,19 @@
 	limiter *allowance.Limiter
 	servers *allowance.Limiter
 	logger  *slog.Logger
-	// behind is called when the process has stood still.
-	behind func()
+	// onStall is called when the process has stood still.
+	onStall func()
 
 	mu sync.Mutex
-	// aliveAt is when the process was last seen to run.
-	aliveAt time.Time
+	// lastRunAt is when the process was last seen to run.
+	lastRunAt time.Time
 }
 
 func newAllowances(tolerance allowance.Tolerance, logger *slog.Logger, behind func()) *allowances {
 	now := steady.Now()
 	return &allowances{
 		limiter: allowance.NewLimiter(tolerance, now, rand.Float64), servers: allowance.NewLimiter(serverTolerance, now, rand.Float64),
-		logger: logger, behind: behind, aliveAt: now,
+		logger: logger, onStall: behind, lastRunAt: now,
 	}
 }
 
@@ -45,15 +45,15 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := steady.Now()
-	stood := now.Sub(a.aliveAt)
-	a.aliveAt = now
+	stood := now.Sub(a.lastRunAt)
+	a.lastRunAt = now
 	if stood < allowance.StallThreshold {
 		return now
 	}
 	a.limiter.ResumeAfterStall(now)
 	a.servers.ResumeAfterStall(now)
 	a.logger.Warn("process stood still, others are asked what was used", "for_ms", stood.Milliseconds())
-	go a.behind()
+	go a.onStall()
 	return now
 }
 
@@ -72,9 +72,9 @@
 	a.limiter.Refund(workspace, tokens, admitted)
 }
 
-// own returns what this daemon has admitted and refused, of workspaces and servers. It is asked
+// ownCounters returns what this daemon has admitted and refused, of workspaces and servers. It is asked
 // for in each round of reports, which shows that the process runs.
-func (a *allowances) own() allowance.Counters {
+func (a *allowances) ownCounters() allowance.Counters {
 	a.now()
 	own, servers := a.limiter.OwnCounters(), a.servers.OwnCounters()
 	maps.Copy(own.Spent, servers.Spent)
@@ -82,11 +82,11 @@
 	return own
 }
 
-func (a *allowances) open(o allowance.Snapshot)                { a.limiter.Restore(o, a.now()) }
-func (a *allowances) counted() time.Duration                   { return a.limiter.CountedFor(a.now()) }
-func (a *allowances) warmup() bool                             { return a.limiter.Warmup(a.now()) }
-func (a *allowances) uses() (map[string]allowance.Usage, bool) { return a.limiter.Usage(a.now()) }
-func (a *allowances) asked() map[string]float64                { return a.limiter.Demand(a.now()) }
+func (a *allowances) restore(o allowance.Snapshot)              { a.limiter.Restore(o, a.now()) }
+func (a *allowances) countedFor() time.Duration                 { return a.limiter.CountedFor(a.now()) }
+func (a *allowances) warmup() bool                              { return a.limiter.Warmup(a.now()) }
+func (a *allowances) usage() (map[string]allowance.Usage, bool) { return a.limiter.Usage(a.now()) }
+func (a *allowances) demand() map[string]float64                { return a.limiter.Demand(a.now()) }
 
 // applyCatalog takes over the allowances of a configuration, and logs those that it changes.
 func (a *allowances) applyCatalog(c *catalog.Catalog) {
@@ -96,21 +96,21 @@
 	}
 }
 
-// setReach takes over how many of the known daemons are heard.
-func (a *allowances) setReach(heard, known int) {
+// setReachable takes over how many of the known daemons are heard.
+func (a *allowances) setReachable(heard, known int) {
 	now := a.now()
 	a.limiter.SetReachable(heard, known, now)
 	a.servers.SetReachable(heard, known, now)
 }
 
-// hear takes over a report. Each limiter knows its own accounts in it.
-func (a *allowances) hear(r allowance.Report) {
+// applyReport takes over a report. Each limiter knows its own accounts in it.
+func (a *allowances) applyReport(r allowance.Report) {
 	now := a.now()
 	a.limiter.ApplyReport(r, now)
 	a.servers.ApplyReport(r, now)
 }
 
-// take takes over what a daemon tells that has counted for a time.
-func (a *allowances) take(uses map[string]allowance.Usage, asked map[string]float64, counted time.Duration) {
+// adoptFromPeer takes over what a daemon tells that has counted for a time.
+func (a *allowances) adoptFromPeer(uses map[string]allowance.Usage, asked map[string]float64, counted time.Duration) {
 	a.limiter.AdoptFromPeer(uses, asked, counted, a.now())
 }
--- a/internal/router/allowances_test.go
+++ b/internal/router/allowances_test.go
@@ -17,8 +17,8 @@
 func TestProcessThatStoodStillAsksOthers(t *testing.T) {
 	for name, first := range map[string]func(a *allowances){
 		"a request":        func(a *allowances) { a.Admit("w", 1) },
-		"a report":         func(a *allowances) { a.own() },
-		"a report of peer": func(a *allowances) { a.hear(allowance.Report{VM: "vm"}) },
+		"a report":         func(a *allowances) { a.ownCounters() },
+		"a report of peer": func(a *allowances) { a.applyReport(allowance.Report{VM: "vm"}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -28,17 +28,17 @@
 				a.applyCatalog((&catalog.Catalog{Workspaces: []catalog.Workspace{{Name: "w", RatePerSecond: 1000, Burst: 1000}}}).Build())
 				for range 100 {
 					time.Sleep(allowance.StallThreshold / 3)
-					a.own()
+					a.ownCounters()
 				}
 				synctest.Wait()
 				c.Check(asked, qt.Equals, 0)
-				c.Check(a.counted() >= allowance.StallThreshold, qt.IsTrue)
+				c.Check(a.countedFor() >= allowance.StallThreshold, qt.IsTrue)
 
 				time.Sleep(allowance.StallThreshold)
 				first(a)
 				synctest.Wait()
 				c.Check(asked, qt.Equals, 1)
-				c.Check(a.counted(), qt.Equals, time.Duration(0))
+				c.Check(a.countedFor(), qt.Equals, time.Duration(0))
 			})
 		})
 	}
--- a/internal/router/heldexchange.go
+++ b/internal/router/heldexchange.go
@@ -13,15 +13,15 @@
 // requests that end servers.
 const heldKind = "plankridge-held"
 
-// exchangeEvery is the time between two looks at what others have written, while a zone is not
+// heldExchangeInterval is the time between two looks at what others have written, while a zone is not
 // heard. Without them each side of a cut has to lose three servers of its own to one request,
 // which reached servers up to five times too late (plays of 8, 70 and 300 daemons). A cut of
 // 8 s costs 16 reads a zone.
-const exchangeEvery = 500 * time.Millisecond
+const heldExchangeInterval = 500 * time.Millisecond
 
-// heldWords is a daemon's object.
-type heldWords struct {
-	Words []quarantine.Report `json:"words"`
+// heldRecord is a daemon's object.
+type heldRecord struct {
+	Reports []quarantine.Report `json:"words"`
 	// WrittenMs is the time of day as of which they are told, in milliseconds since 1970.
 	WrittenMs int64 `json:"written_ms"`
 }
@@ -29,7 +29,7 @@
 // exchangeHeld passes on what is known of requests that end servers through the store, while
 // this daemon leads its zone and another zone is not heard.
 func (r *Router) exchangeHeld(ctx context.Context) {
-	ticker := time.NewTicker(exchangeEvery)
+	ticker := time.NewTicker(heldExchangeInterval)
 	defer ticker.Stop()
 	written := 0
 	for {
@@ -51,7 +51,7 @@
 
 // publishHeld writes what this daemon knows.
 func (r *Router) publishHeld(ctx context.Context, now time.Time) bool {
-	own := heldWords{Words: r.state.quarantine.Reports(now), WrittenMs: now.UnixMilli()}
+	own := heldRecord{Reports: r.state.quarantine.Reports(now), WrittenMs: now.UnixMilli()}
 	err := store.Overwrite(ctx, r.objects, heldKind, r.settings.VM.ID, own)
 	if err != nil {
 		r.logger.Warn("requests that are held back not published", "error", err)
@@ -68,13 +68,13 @@
 	}
 	now := time.Now()
 	for _, object := range page.Objects {
-		var other heldWords
+		var other heldRecord
 		if err := json.Unmarshal(object.Spec, &other); err != nil {
-			r.bad.note(&store.BadObject{Kind: heldKind, Name: object.Name, Fault: store.FaultUnreadable}, now)
+			r.badObjects.record(&store.BadObject{Kind: heldKind, Name: object.Name, Fault: store.FaultUnreadable}, now)
 			continue
 		}
 		if object.Name != r.settings.VM.ID {
-			r.state.quarantine.Merge(other.Words, max(0, now.Sub(time.UnixMilli(other.WrittenMs))), now)
+			r.state.quarantine.Merge(other.Reports, max(0, now.Sub(time.UnixMilli(other.WrittenMs))), now)
 		}
 	}
 }
--- a/internal/router/listing.go
+++ b/internal/router/listing.go
@@ -12,25 +12,25 @@
 	"github.com/plankridge/plankridge/platform"
 )
 
-// keepGone is how long the removal of an entry is remembered, so that a peer that
+// removalRetention is how long the removal of an entry is remembered, so that a peer that
 // is behind by less can be told just what has changed.
-const keepGone = 30 * time.Second
+const removalRetention = 30 * time.Second
 
-// listing is the list of backend servers as daemons exchange it.
-type listing struct {
-	entries map[string]listed
-	// gone holds the removals, by ID.
-	gone map[string]removal
+// serverList is the list of backend servers as daemons exchange it.
+type serverList struct {
+	entries map[string]listEntry
+	// removals holds the removals, by ID.
+	removals map[string]removal
 	// revision is the store's revision up to which everything is known.
 	revision int64
-	// floor is the revision from which on removals are known.
-	floor int64
+	// removalsSince is the revision from which on removals are known.
+	removalsSince int64
 	// digest is a digest of what servers are listed and how, whatever their order.
 	digest uint64
 }
 
-// listed is an entry with what it adds to the digest, and what was decoded of it.
-type listed struct {
+// listEntry is an entry with what it adds to the digest, and what was decoded of it.
+type listEntry struct {
 	spec     json.RawMessage
 	revision int64
 	digest   uint64
@@ -44,20 +44,20 @@
 	at       time.Time
 }
 
-func newListing() *listing {
-	return &listing{entries: map[string]listed{}, gone: map[string]removal{}}
+func newServerList() *serverList {
+	return &serverList{entries: map[string]listEntry{}, removals: map[string]removal{}}
 }
 
 // replace takes over a whole list as of a revision and returns the entries that can be decoded.
 // What is missing there was removed since, so that a peer that is behind by less still gets the
 // changes alone. It returns false for a list that is behind this one: what a call returned may
 // arrive after later words.
-func (l *listing) replace(objects []store.Object, revision int64, now time.Time) (entries []backend.Entry, broken []error, taken bool) {
+func (l *serverList) replace(objects []store.Object, revision int64, now time.Time) (entries []backend.Entry, broken []error, taken bool) {
 	if revision < l.revision {
 		return nil, nil, false
 	}
 	if l.revision == 0 {
-		l.floor = revision
+		l.removalsSince = revision
 	}
 	present := map[string]bool{}
 	for _, object := range objects {
@@ -66,21 +66,21 @@
 			// It has changed since.
 			continue
 		}
-		l.put(object)
+		l.putEntry(object)
 	}
 	for id, one := range l.entries {
 		if !present[id] && one.revision <= revision {
-			l.drop(id)
-			l.gone[id] = removal{revision: revision, at: now}
+			l.deleteEntry(id)
+			l.removals[id] = removal{revision: revision, at: now}
 		}
 	}
 	l.revision = revision
-	entries, broken = l.decoded()
+	entries, broken = l.decodedEntries()
 	return entries, broken, true
 }
 
-// decoded returns the entries that name a server to use, and what is wrong with the others.
-func (l *listing) decoded() (entries []backend.Entry, broken []error) {
+// decodedEntries returns the entries that name a server to use, and what is wrong with the others.
+func (l *serverList) decodedEntries() (entries []backend.Entry, broken []error) {
 	for _, one := range l.entries {
 		if one.err != nil {
 			broken = append(broken, one.err)
@@ -91,30 +91,30 @@
 	return entries, broken
 }
 
-// change takes over an entry as of its revision. It returns false for one that is no news: the
+// applyEntry takes over an entry as of its revision. It returns false for one that is no news: the
 // same is known, or a later word, be it that the entry is gone. Peers tell what the store tells
 // too, in any order.
-func (l *listing) change(object store.Object) bool {
+func (l *serverList) applyEntry(object store.Object) bool {
 	one, listed := l.entries[object.Name]
 	last := one.revision
-	if gone, removed := l.gone[object.Name]; removed && !listed {
+	if gone, removed := l.removals[object.Name]; removed && !listed {
 		last = gone.revision
 	}
 	if object.Revision > 0 && last >= object.Revision {
 		return false
 	}
-	l.put(object)
+	l.putEntry(object)
 	return true
 }
 
-// put writes down one entry. What cannot be decoded is passed on all the same, but is no part
+// putEntry writes down one entry. What cannot be decoded is passed on all the same, but is no part
 // of the digest.
-func (l *listing) put(object store.Object) {
-	l.drop(object.Name)
-	delete(l.gone, object.Name)
+func (l *serverList) putEntry(object store.Object) {
+	l.deleteEntry(object.Name)
+	delete(l.removals, object.Name)
 	entry, err := platform.DecodeServer(object.Name, object.Spec)
 	entry.Revision = object.Revision
-	one := listed{spec: object.Spec, revision: object.Revision, entry: entry, err: err}
+	one := listEntry{spec: object.Spec, revision: object.Revision, entry: entry, err: err}
 	if err == nil {
 		one.digest = xxhash.Sum64String(object.Name + "|" + entry.Address + "|" + entry.Version + "|" +
 			strconv.FormatInt(entry.StartTimeMs, 16) + "|" + strconv.FormatBool(entry.Draining))
@@ -123,26 +123,26 @@
 	l.digest += one.digest
 }
 
-func (l *listing) drop(id string) {
+func (l *serverList) deleteEntry(id string) {
 	l.digest -= l.entries[id].digest
 	delete(l.entries, id)
 }
 
-// remove takes over that an entry was gone by a revision, and not there again. It returns false
+// applyRemoval takes over that an entry was gone by a revision, and not there again. It returns false
 // where that is no news, or where the entry is known to have come back since. The revision is no
 // earlier than that of the removal: a peer that knows the list up to one between the two asks
 // for later changes alone, and would never be told.
-func (l *listing) remove(id string, revision int64, now time.Time) bool {
+func (l *serverList) applyRemoval(id string, revision int64, now time.Time) bool {
 	one, listed := l.entries[id]
 	if listed && one.revision > revision {
 		return false
 	}
-	if known, removed := l.gone[id]; removed && known.revision >= revision {
+	if known, removed := l.removals[id]; removed && known.revision >= revision {
 		return false
 	}
-	l.drop(id)
-	l.forget(now)
-	l.gone[id] = removal{revision: revision, at: now}
+	l.deleteEntry(id)
+	l.expireRemovals(now)
+	l.removals[id] = removal{revision: revision, at: now}
 	return listed
 }
 
@@ -153,9 +153,9 @@
 // entry were gone: it gets nothing new while there is another, and what is in flight ends. To keep
 // it would trust a writer that nobody knows; to cut it off at once would fail what runs there for
 // a slip of that writer.
-func (l *listing) merge(c changes, now time.Time) (entries []backend.Entry, left []string, broken []error) {
+func (l *serverList) merge(c serverChanges, now time.Time) (entries []backend.Entry, left []string, broken []error) {
 	for _, object := range c.put {
-		if !l.change(object) {
+		if !l.applyEntry(object) {
 			continue
 		}
 		one := l.entries[object.Name]
@@ -167,53 +167,53 @@
 		entries = append(entries, one.entry)
 	}
 	for _, one := range c.removed {
-		if l.remove(one.id, one.revision, now) {
+		if l.applyRemoval(one.id, one.revision, now) {
 			left = append(left, one.id)
 		}
 	}
-	if c.from != fromStore {
+	if c.from != sourceStore {
 		// Of the store's, Advance tells.
 		l.revision = max(l.revision, c.upTo)
 	}
 	return entries, left, broken
 }
 
-// forget lets go of removals that no peer is behind any more.
-func (l *listing) forget(now time.Time) {
-	for id, r := range l.gone {
-		if now.Sub(r.at) >= keepGone {
-			delete(l.gone, id)
-			l.floor = max(l.floor, r.revision)
+// expireRemovals lets go of removals that no peer is behind any more.
+func (l *serverList) expireRemovals(now time.Time) {
+	for id, r := range l.removals {
+		if now.Sub(r.at) >= removalRetention {
+			delete(l.removals, id)
+			l.removalsSince = max(l.removalsSince, r.revision)
 		}
 	}
 }
 
-// gone is a server that is not listed any more, with the revision by which it was not.
-type gone struct {
+// removedServer is a server that is not listed any more, with the revision by which it was not.
+type removedServer struct {
 	id       string
 	revision int64
 }
 
-// since returns what has changed after a revision. It returns false when removals
+// changesSince returns what has changed after a revision. It returns false when removals
 // since then are not all known, so that the whole list is needed.
-func (l *listing) since(revision int64) (changed []store.Object, removed []gone, ok bool) {
-	if revision < l.floor {
-		return l.all(), nil, false
+func (l *serverList) changesSince(revision int64) (changed []store.Object, removed []removedServer, ok bool) {
+	if revision < l.removalsSince {
+		return l.allObjects(), nil, false
 	}
 	for id, one := range l.entries {
 		if one.revision > revision {
 			changed = append(changed, store.Object{Name: id, Spec: one.spec, Revision: one.revision})
 		}
 	}
-	for id, r := range l.gone {
+	for id, r := range l.removals {
 		if r.revision > revision {
-			removed = append(removed, gone{id: id, revision: r.revision})
+			removed = append(removed, removedServer{id: id, revision: r.revision})
 		}
 	}
 	return changed, removed, true
 }
 
-func (l *listing) all() []store.Object {
+func (l *serverList) allObjects() []store.Object {
 	var objects []store.Object
 	for id, one := range l.entries {
 		objects = append(objects, store.Object{Name: id, Spec: one.spec, Revision: one.revision})
--- a/internal/router/listing_test.go
+++ b/internal/router/listing_test.go
@@ -16,42 +16,42 @@
 	return store.Object{Name: fmt.Sprintf("i-%d", i), Spec: []byte(spec), Revision: revision}
 }
 
-// TestChangesAreEnoughAfterALaterList: a relay that lists the servers anew still tells a
+// TestChangesSinceSurviveRelist: a relay that lists the servers anew still tells a
 // peer what has changed since, removals too.
-func TestChangesAreEnoughAfterALaterList(t *testing.T) {
+func TestChangesSinceSurviveRelist(t *testing.T) {
 	c := qt.New(t)
-	l := newListing()
+	l := newServerList()
 	now := time.Unix(1000, 0)
 	_, broken, _ := l.replace([]store.Object{listedServer(1, 1), listedServer(2, 2)}, 10, now)
 	c.Assert(broken, qt.HasLen, 0)
 	_, broken, _ = l.replace([]store.Object{listedServer(2, 2), listedServer(3, 12)}, 14, now)
 	c.Assert(broken, qt.HasLen, 0)
-	changed, removed, ok := l.since(10)
+	changed, removed, ok := l.changesSince(10)
 	c.Check(ok, qt.IsTrue)
 	c.Check(changed, qt.HasLen, 1)
 	c.Check(changed[0].Name, qt.Equals, "i-3")
 	c.Check(removed, qt.HasLen, 1)
-	c.Check(removed[0], qt.Equals, gone{id: "i-1", revision: 14})
-	_, _, ok = l.since(9)
+	c.Check(removed[0], qt.Equals, removedServer{id: "i-1", revision: 14})
+	_, _, ok = l.changesSince(9)
 	c.Check(ok, qt.IsFalse, qt.Commentf("removals before the first list are not known"))
 }
 
-// TestDaemonThatIsBehindFetchesTheChangesAlone, for as long as the servers change.
-func TestDaemonThatIsBehindFetchesTheChangesAlone(t *testing.T) {
+// TestLaggingDaemonFetchesOnlyChanges, for as long as the servers change.
+func TestLaggingDaemonFetchesOnlyChanges(t *testing.T) {
 	c := qt.New(t)
 	lead, member := testRouter(t).state, testRouter(t).state
 	now := time.Now()
-	lead.takeServers([]store.Object{listedServer(1, 1)}, 1, fromStore, now)
+	lead.replaceServers([]store.Object{listedServer(1, 1)}, 1, sourceStore, now)
 	member.HandlePullReply(lead.AnswerPull(member.PullRequest()))
 	var late *gossippb.PullReply
 	for i := 2; i < 40; i++ {
-		lead.changeServers(changes{put: []store.Object{listedServer(i, int64(i))}}, now)
-		lead.listing.revision = int64(i)
+		lead.updateServers(serverChanges{put: []store.Object{listedServer(i, int64(i))}}, now)
+		lead.serverList.revision = int64(i)
 		if late != nil {
 			c.Assert(member.HandlePullReply(late), qt.IsFalse)
 			late = nil
 		}
-		status := &gossippb.Status{Vm: "lead", ServersRevision: int64(i), ServersDigest: lead.listing.digest}
+		status := &gossippb.Status{Vm: "lead", ServersRevision: int64(i), ServersDigest: lead.serverList.digest}
 		c.Assert(member.lacksServers(status, now), qt.IsTrue)
 		c.Assert(member.PullRequest().GetServersRevision(), qt.Equals, int64(i-1), qt.Commentf("the whole list is asked for"))
 		reply := lead.AnswerPull(member.PullRequest())
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -9,52 +9,52 @@
 	"github.com/plankridge/plankridge/internal/lease"
 )
 
-// remember returns what daemons that start after the death of all should know. The
+// buildSnapshot returns what daemons that start after the death of all should know. The
 // holder of the lease writes it beside each renewal, at no further call.
 // What is not known yet by a holder that has just started stays as it stands.
-func (s *state) remember(standing lease.Snapshot) lease.Snapshot {
+func (s *state) buildSnapshot(standing lease.Snapshot) lease.Snapshot {
 	now := time.Now()
 	reach, _ := s.reach(now)
 	memory := lease.Snapshot{
 		Daemons: reach.Known, WrittenAtMs: standing.WrittenAtMs, RecentUses: standing.RecentUses, DemandRates: standing.DemandRates, Warmup: standing.Warmup,
-		EngineFigures: s.view.EngineFigures(), FirstTryLimits: s.limits.Usual(), RequestWindows: s.ledger.All(windowsTold),
+		EngineFigures: s.view.EngineFigures(), FirstTryLimits: s.firstTryLimits.Usual(), RequestWindows: s.ledger.All(reportedWindows),
 	}
-	if uses, known := s.limiter.uses(); known {
-		memory.WrittenAtMs, memory.RecentUses, memory.DemandRates, memory.Warmup = now.UnixMilli(), uses, s.limiter.asked(), s.limiter.warmup()
+	if uses, known := s.limiter.usage(); known {
+		memory.WrittenAtMs, memory.RecentUses, memory.DemandRates, memory.Warmup = now.UnixMilli(), uses, s.limiter.demand(), s.limiter.warmup()
 	}
 	memory.HeldRequests, memory.HeldAtMs = s.quarantine.Snapshot(now), now.UnixMilli()
-	if s.router.board.Enabled() {
-		versions := s.router.board.Snapshot(now)
+	if s.router.rollOuts.Enabled() {
+		versions := s.router.rollOuts.Snapshot(now)
 		memory.RollOuts = &versions
 	}
 	return memory
 }
 
-// recall applies what was known before this process started, and returns whether that tells what the
+// restoreSnapshot applies what was known before this process started, and returns whether that tells what the
 // workspaces have used. listed is the number of daemons in the store's list, which may be short.
-func (s *state) recall(memory lease.Snapshot, listed int, now time.Time) bool {
+func (s *state) restoreSnapshot(memory lease.Snapshot, listed int, now time.Time) bool {
 	daemons := max(listed, memory.Daemons)
 	s.view.MergeEngineFigures(memory.EngineFigures)
-	s.limits.Restore(memory.FirstTryLimits)
+	s.firstTryLimits.Restore(memory.FirstTryLimits)
 	// Counts only grow: where daemons that are still there know more, theirs stand.
 	s.ledger.MergeAll(memory.RequestWindows)
-	opened := s.openAllowances(memory)
+	opened := s.restoreAllowances(memory)
 	if memory.RollOuts != nil {
-		s.router.board.Restore(*memory.RollOuts, max(0, s.started.Sub(time.UnixMilli(memory.WrittenAtMs))), now)
-		s.router.useVersions(now)
+		s.router.rollOuts.Restore(*memory.RollOuts, max(0, s.started.Sub(time.UnixMilli(memory.WrittenAtMs))), now)
+		s.router.applyVersions(now)
 	}
 	s.mu.Lock()
-	if daemons > s.told {
-		s.told, s.toldAt = daemons, now
+	if daemons > s.reportedDaemons {
+		s.reportedDaemons, s.reportedDaemonsAt = daemons, now
 	}
 	s.mu.Unlock()
 	s.router.logger.Info("known before the start", "daemons", daemons, "listed", listed, "workspaces", len(memory.RecentUses), "services", len(memory.EngineFigures))
 	return opened
 }
 
-// openAllowances applies what the workspaces have used: what the record tells, or nothing at the first
+// restoreAllowances applies what the workspaces have used: what the record tells, or nothing at the first
 // start of all daemons. It returns false if neither is the case.
-func (s *state) openAllowances(memory lease.Snapshot) bool {
+func (s *state) restoreAllowances(memory lease.Snapshot) bool {
 	opening := allowance.Snapshot{Usage: memory.RecentUses, Demand: memory.DemandRates, Warmup: memory.Warmup, Age: max(0, s.started.Sub(time.UnixMilli(memory.WrittenAtMs)))}
 	if memory.WrittenAtMs == 0 {
 		if !s.router.settings.Peers.Bootstrap {
@@ -62,13 +62,13 @@
 		}
 		opening = allowance.Snapshot{}
 	}
-	s.limiter.open(opening)
+	s.limiter.restore(opening)
 	return true
 }
 
-// logPaces writes down what was learned of the engines and what is asked of them, from
+// logEngineFigures writes down what was learned of the engines and what is asked of them, from
 // which predictions and orders are made.
-func (s *state) logPaces() {
+func (s *state) logEngineFigures() {
 	for service, learned := range s.view.EngineFigures() {
 		load := s.Demand(service)
 		s.router.logger.Info("pace of engines", "service", service,
--- a/internal/router/memory_test.go
+++ b/internal/router/memory_test.go
@@ -30,23 +30,23 @@
 		got := make(chan *catalog.Catalog)
 		go func() { got <- s.awaitCatalog(context.Background()) }()
 		time.Sleep(20 * time.Millisecond)
-		s.takeConfig([]byte(firstConfig), "test")
+		s.applyConfig([]byte(firstConfig), "test")
 		time.Sleep(20 * time.Millisecond)
-		s.takeServers(nil, 1, fromStore, time.Now())
+		s.replaceServers(nil, 1, sourceStore, time.Now())
 		c.Check((<-got).Version, qt.Equals, int64(1))
 		c.Check(time.Since(begun), qt.Equals, 40*time.Millisecond)
 		c.Check(s.awaitCatalog(context.Background()).Version, qt.Equals, int64(1))
 	})
 }
 
-func TestCallerDoesNotWaitForLong(t *testing.T) {
+func TestCallerWaitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := testRouter(t).state
 		begun := time.Now()
 		c.Check(s.awaitCatalog(context.Background()), qt.IsNil)
 		c.Check(time.Since(begun), qt.Equals, startWait)
-		s.takeConfig([]byte(firstConfig), "test")
+		s.applyConfig([]byte(firstConfig), "test")
 		c.Check(s.awaitCatalog(context.Background()), qt.IsNotNil, qt.Commentf("the servers are not known yet"))
 		c.Check(time.Since(begun), qt.Equals, 2*startWait)
 	})
@@ -58,14 +58,14 @@
 	c := qt.New(t)
 	s := testRouter(t).state
 	standing := lease.Snapshot{WrittenAtMs: 7, RecentUses: map[string]allowance.Usage{"w": {1, 2, 3, 4}}}
-	next := s.remember(standing)
+	next := s.buildSnapshot(standing)
 	c.Check(next.RecentUses, qt.DeepEquals, standing.RecentUses)
 	c.Check(next.WrittenAtMs, qt.Equals, int64(7))
 }
 
-// TestStarterKnowsWhatTheLastHolderKnew: a daemon that starts after the death of all has
+// TestSnapshotIsRestoredAfterRestart: a daemon that starts after the death of all has
 // the counts of windows that nobody else knows any more, and what was learned.
-func TestStarterKnowsWhatTheLastHolderKnew(t *testing.T) {
+func TestSnapshotIsRestoredAfterRestart(t *testing.T) {
 	c := qt.New(t)
 	before, after := testRouter(t).state, testRouter(t).state
 	now := time.Now()
@@ -75,11 +75,11 @@
 	}
 	before.view.SetTraits(map[string]backend.Traits{"s": {CacheTokens: 1000}})
 	before.view.MergeEngineFigures(map[string]pace.EngineEstimates{"s": {First: pace.Estimate{Coefficients: []float64{0.5}, Samples: 100}}})
-	raw, err := json.Marshal(lease.Record{Snapshot: before.remember(lease.Snapshot{})})
+	raw, err := json.Marshal(lease.Record{Snapshot: before.buildSnapshot(lease.Snapshot{})})
 	c.Assert(err, qt.IsNil)
 	var record lease.Record
 	c.Assert(json.Unmarshal(raw, &record), qt.IsNil)
-	after.recall(record.Snapshot, 1, now)
+	after.restoreSnapshot(record.Snapshot, 1, now)
 	c.Check(after.ledger.Sum(window), qt.DeepEquals, usage.Counts{"w": 3})
 	after.view.SetTraits(map[string]backend.Traits{"s": {CacheTokens: 1000}})
 	after.view.Put(backend.Entry{ID: "a", Service: "s", Slots: 1}, now)
--- a/internal/router/probe_test.go
+++ b/internal/router/probe_test.go
@@ -11,24 +11,24 @@
 // waited for; one that gets no answer is found out within an eighth of the bound.
 func TestSlowStoreIsNotOutOfReach(t *testing.T) {
 	c := qt.New(t)
-	p := newProbes(2 * time.Second)
+	p := newProber(2 * time.Second)
 	for range 20 {
-		p.answered(4 * time.Millisecond)
+		p.recordLatency(4 * time.Millisecond)
 	}
-	c.Check(p.patience(), qt.Equals, 250*time.Millisecond)
+	c.Check(p.timeout(), qt.Equals, 250*time.Millisecond)
 	const slow = 400 * time.Millisecond
 	missed := 0
 	for range 20 {
-		if p.patience() < slow {
+		if p.timeout() < slow {
 			missed++
 		}
-		p.answered(min(slow, p.patience()))
+		p.recordLatency(min(slow, p.timeout()))
 	}
 	c.Check(missed <= 4, qt.IsTrue, qt.Commentf("%d of 20 answers of a slow store missed", missed))
-	c.Check(p.patience(), qt.Equals, longestProbe)
+	c.Check(p.timeout(), qt.Equals, maxProbeInterval)
 	for bound, every := range map[time.Duration]time.Duration{
-		100 * time.Millisecond: shortestProbe, 4 * time.Second: 500 * time.Millisecond, time.Minute: longestProbe,
+		100 * time.Millisecond: minProbeInterval, 4 * time.Second: 500 * time.Millisecond, time.Minute: maxProbeInterval,
 	} {
-		c.Check(newProbes(bound).patience(), qt.Equals, every)
+		c.Check(newProber(bound).timeout(), qt.Equals, every)
 	}
 }
--- a/internal/router/pull.go
+++ b/internal/router/pull.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// differsFor is how long a peer that is ahead must show other servers before
+	// differenceGrace is how long a peer that is ahead must show other servers before
 	// its list is fetched by a daemon that follows the store itself: a change
 	// reaches all watches within some milliseconds.
-	differsFor = 600 * time.Millisecond
-	// storeBackFor is how long the return of the store is told.
-	storeBackFor = 5 * time.Second
+	differenceGrace = 600 * time.Millisecond
+	// storeReturnedFor is how long the return of the store is told.
+	storeReturnedFor = 5 * time.Second
 )
 
 // NeedsPull implements gossip.Sink.
@@ -42,27 +42,27 @@
 	following := s.router.following.Load()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ahead := status.GetServersRevision() > s.listing.revision || (!following && status.GetServersRevision() == s.listing.revision)
-	if !ahead || status.GetStoreFailing() || status.GetServersDigest() == s.listing.digest {
-		delete(s.differs, status.GetVm())
+	ahead := status.GetServersRevision() > s.serverList.revision || (!following && status.GetServersRevision() == s.serverList.revision)
+	if !ahead || status.GetStoreFailing() || status.GetServersDigest() == s.serverList.digest {
+		delete(s.differsSince, status.GetVm())
 		return false
 	}
-	if !following && status.GetServersRevision() > s.listing.revision {
+	if !following && status.GetServersRevision() > s.serverList.revision {
 		// The changes are enough. While servers change all the time the digests never
 		// agree: 295 daemons fetched the whole list 18 times each in their first seconds.
-		delete(s.differs, status.GetVm())
+		delete(s.differsSince, status.GetVm())
 		return true
 	}
-	since, known := s.differs[status.GetVm()]
+	since, known := s.differsSince[status.GetVm()]
 	if !known {
 		since = now
-		s.differs[status.GetVm()] = now
+		s.differsSince[status.GetVm()] = now
 	}
-	if now.Sub(since) >= differsFor {
-		s.wantAll = true
+	if now.Sub(since) >= differenceGrace {
+		s.pullFullList = true
 		return true
 	}
-	return !following || s.unreached()
+	return !following || s.storeUnavailableLocked()
 }
 
 // PullRequest implements gossip.Source.
@@ -73,8 +73,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.wantAll {
-		request.ServersRevision = s.listing.revision
+	if !s.pullFullList {
+		request.ServersRevision = s.serverList.revision
 	}
 	return request
 }
@@ -87,12 +87,12 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.listing.revision <= request.GetServersRevision() || s.storeFailing() {
+	if s.serverList.revision <= request.GetServersRevision() || s.storeFailingLocked() {
 		return reply
 	}
-	reply.ServersRevision, reply.ServersDigest = s.listing.revision, s.listing.digest
-	reply.ServersAgeMs = s.tellAge(time.Now())
-	if back := time.Since(s.storeBackAt); back < storeBackFor {
+	reply.ServersRevision, reply.ServersDigest = s.serverList.revision, s.serverList.digest
+	reply.ServersAgeMs = s.listAgeMs(time.Now())
+	if back := time.Since(s.storeReturnedAt); back < storeReturnedFor {
 		reply.StoreBackMs = max(1, back.Milliseconds())
 	}
 	reply.PackedServers, reply.Partial = s.packedServers(request.GetServersRevision())
@@ -115,7 +115,7 @@
 	return objects
 }
 
-func encodeRemovals(removed []gone) []*gossippb.Removal {
+func encodeRemovals(removed []removedServer) []*gossippb.Removal {
 	told := make([]*gossippb.Removal, 0, len(removed))
 	for _, one := range removed {
 		told = append(told, &gossippb.Removal{Id: one.id, Revision: one.revision})
@@ -123,10 +123,10 @@
 	return told
 }
 
-func decodeRemovals(told []*gossippb.Removal) []gone {
-	removed := make([]gone, 0, len(told))
+func decodeRemovals(told []*gossippb.Removal) []removedServer {
+	removed := make([]removedServer, 0, len(told))
 	for _, one := range told {
-		removed = append(removed, gone{id: one.GetId(), revision: one.GetRevision()})
+		removed = append(removed, removedServer{id: one.GetId(), revision: one.GetRevision()})
 	}
 	return removed
 }
@@ -139,36 +139,36 @@
 	partial         bool
 }
 
-// mostPackedLists bounds the packed lists that are kept: the whole one, and what has changed
+// maxPackedLists bounds the packed lists that are kept: the whole one, and what has changed
 // since the few revisions at which the daemons of a zone are behind.
-const mostPackedLists = 4
+const maxPackedLists = 4
 
 // packedServers returns the list as peers exchange it, what has changed since a revision or
 // all of it, packed once for all that ask while it stays as it is. After the death of all
 // the relays are asked by their zone: 3,000 servers are 632 KB, which 60 daemons get over
-// two links of 20 Mbit/s in 8 s, and packed 62 KB (TestListIsSmallOnTheWire). 900 servers
+// two links of 20 Mbit/s in 8 s, and packed 62 KB (TestServerListIsCompressed). 900 servers
 // that leave at once are 192 KB of changes to each, and packed 18 KB
-// (TestChangesAreSmallOnTheWire). The caller holds the lock.
+// (TestServerChangesAreCompressed). The caller holds the lock.
 func (s *state) packedServers(since int64) (packed []byte, partial bool) {
 	for _, kept := range s.packedLists {
-		if kept.since == since && kept.revision == s.listing.revision && kept.digest == s.listing.digest {
+		if kept.since == since && kept.revision == s.serverList.revision && kept.digest == s.serverList.digest {
 			return kept.packed, kept.partial
 		}
 	}
-	changed, removed, partial := s.listing.since(since)
+	changed, removed, partial := s.serverList.changesSince(since)
 	raw, err := proto.Marshal(&gossippb.ServerList{Servers: encodeServers(changed), Removed: encodeRemovals(removed)})
 	if err != nil {
 		s.router.logger.Error("list of servers cannot be encoded", "error", err)
 		return nil, partial
 	}
 	packed = pack(raw)
-	made := packedList{since: since, revision: s.listing.revision, digest: s.listing.digest, packed: packed, partial: partial}
-	s.packedLists = append([]packedList{made}, s.packedLists[:min(len(s.packedLists), mostPackedLists-1)]...)
+	made := packedList{since: since, revision: s.serverList.revision, digest: s.serverList.digest, packed: packed, partial: partial}
+	s.packedLists = append([]packedList{made}, s.packedLists[:min(len(s.packedLists), maxPackedLists-1)]...)
 	return packed, partial
 }
 
 // unpackServers returns what packedServers returned at a peer.
-func unpackServers(packed []byte) (servers []store.Object, removed []gone, err error) {
+func unpackServers(packed []byte) (servers []store.Object, removed []removedServer, err error) {
 	raw, err := unpack(packed)
 	if err != nil {
 		return nil, nil, err
@@ -183,27 +183,27 @@
 // packedConfig returns a configuration as peers exchange it, packed once for all that
 // ask.
 func (s *state) packedConfig(c *catalog.Catalog) []byte {
-	s.packing.Lock()
-	defer s.packing.Unlock()
-	if s.packedVersion != c.Version || s.packed == nil {
-		s.packed, s.packedVersion = pack(c.Raw), c.Version
+	s.packedConfigMu.Lock()
+	defer s.packedConfigMu.Unlock()
+	if s.packedConfigVersion != c.Version || s.packedConfigBytes == nil {
+		s.packedConfigBytes, s.packedConfigVersion = pack(c.Raw), c.Version
 	}
-	return s.packed
+	return s.packedConfigBytes
 }
 
-// takePackedConfig takes over what packedConfig returned at a peer.
-func (s *state) takePackedConfig(packed []byte) {
+// applyPackedConfig takes over what packedConfig returned at a peer.
+func (s *state) applyPackedConfig(packed []byte) {
 	raw, err := unpack(packed)
 	if err != nil {
 		s.router.logger.Error("configuration of a peer cannot be unpacked", "error", err, "bytes", len(packed))
 		return
 	}
-	s.takeConfig(raw, "peer")
+	s.applyConfig(raw, "peer")
 }
 
-// mostUnpacked bounds what is unpacked, in bytes: eight times the largest value that
+// maxUnpackedBytes bounds what is unpacked, in bytes: eight times the largest value that
 // the store holds.
-const mostUnpacked = 8 << 20
+const maxUnpackedBytes = 8 << 20
 
 // pack compresses with gzip. A configuration repeats its field names in each route and
 // shrinks to a tenth or less.
@@ -221,17 +221,17 @@
 	if err != nil {
 		return nil, err
 	}
-	return io.ReadAll(io.LimitReader(r, mostUnpacked))
+	return io.ReadAll(io.LimitReader(r, maxUnpackedBytes))
 }
 
 // HandlePullReply implements gossip.Sink.
 func (s *state) HandlePullReply(reply *gossippb.PullReply) (again bool) {
 	if len(reply.GetConfig()) > 0 {
-		s.takePackedConfig(reply.GetConfig())
+		s.applyPackedConfig(reply.GetConfig())
 	}
 	s.mu.Lock()
-	wanted := reply.GetServersRevision() > s.listing.revision ||
-		(reply.GetServersRevision() == s.listing.revision && len(reply.GetPackedServers()) > 0)
+	wanted := reply.GetServersRevision() > s.serverList.revision ||
+		(reply.GetServersRevision() == s.serverList.revision && len(reply.GetPackedServers()) > 0)
 	s.mu.Unlock()
 	if !wanted {
 		return false
@@ -246,26 +246,26 @@
 		return false
 	}
 	if !reply.GetPartial() {
-		s.takeServers(objects, reply.GetServersRevision(), reply.GetVm(), now)
+		s.replaceServers(objects, reply.GetServersRevision(), reply.GetVm(), now)
 	} else {
-		s.changeServers(changes{put: objects, removed: removed, from: reply.GetVm(), upTo: reply.GetServersRevision()}, now)
+		s.updateServers(serverChanges{put: objects, removed: removed, from: reply.GetVm(), upTo: reply.GetServersRevision()}, now)
 	}
-	return !s.compare(reply, now)
+	return !s.matchesPeer(reply, now)
 }
 
-// compare reports whether the list is now that of the peer that told it, as far as that can be
+// matchesPeer reports whether the list is now that of the peer that told it, as far as that can be
 // said. Where its changes did not make it so, one was lost, and the whole list is asked for: the
 // revision alone says nothing of that, and goes on for other objects all the time.
-func (s *state) compare(reply *gossippb.PullReply, now time.Time) bool {
+func (s *state) matchesPeer(reply *gossippb.PullReply, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.agree(reply.GetServersDigest(), reply.GetServersAgeMs(), now)
-	if reply.GetServersDigest() == 0 || reply.GetServersRevision() != s.listing.revision || reply.GetServersDigest() == s.listing.digest {
+	s.confirmList(reply.GetServersDigest(), reply.GetServersAgeMs(), now)
+	if reply.GetServersDigest() == 0 || reply.GetServersRevision() != s.serverList.revision || reply.GetServersDigest() == s.serverList.digest {
 		return true
 	}
 	s.router.listsDiffer.Inc()
 	s.router.logger.Warn("list of servers differs from the one it was told from", "from", reply.GetVm(),
-		"revision", s.listing.revision, "partial", reply.GetPartial(), "servers", len(s.listing.entries))
-	s.wantAll = reply.GetPartial()
+		"revision", s.serverList.revision, "partial", reply.GetPartial(), "servers", len(s.serverList.entries))
+	s.pullFullList = reply.GetPartial()
 	return !reply.GetPartial()
 }
--- a/internal/router/pull_test.go
+++ b/internal/router/pull_test.go
@@ -13,9 +13,9 @@
 	"github.com/plankridge/plankridge/internal/store"
 )
 
-// TestLargeConfigurationTravelsSmall: a link of 10 Mbit/s carries it to a whole zone
+// TestLargeConfigurationIsCompressed: a link of 10 Mbit/s carries it to a whole zone
 // within the bound.
-func TestLargeConfigurationTravelsSmall(t *testing.T) {
+func TestLargeConfigurationIsCompressed(t *testing.T) {
 	c := qt.New(t)
 	var routes []string
 	for i := range 1900 {
@@ -23,7 +23,7 @@
 	}
 	raw := `{"version":3,"routes":[` + strings.Join(routes, ",") + `]}`
 	from, to := testRouter(t), testRouter(t)
-	from.state.takeConfig([]byte(raw), "test")
+	from.state.applyConfig([]byte(raw), "test")
 	reply := from.state.AnswerPull(&gossippb.PullRequest{})
 	c.Check(len(reply.GetConfig()) < len(raw)/5, qt.IsTrue, qt.Commentf("%d of %d bytes", len(reply.GetConfig()), len(raw)))
 	to.state.HandlePullReply(reply)
@@ -32,9 +32,9 @@
 	c.Check(string(to.state.Catalog().Raw), qt.Equals, raw)
 }
 
-// TestListIsSmallOnTheWire: 3,000 servers reach the 60 daemons of a zone over the links of
+// TestServerListIsCompressed: 3,000 servers reach the 60 daemons of a zone over the links of
 // 20 Mbit/s of two relays within a second, in place of eight.
-func TestListIsSmallOnTheWire(t *testing.T) {
+func TestServerListIsCompressed(t *testing.T) {
 	c := qt.New(t)
 	var objects []store.Object
 	plain := 0
@@ -45,21 +45,21 @@
 		plain += len(name) + len(spec)
 	}
 	from, to := testRouter(t), testRouter(t)
-	from.state.takeServers(objects, 9000, fromStore, time.Now())
+	from.state.replaceServers(objects, 9000, sourceStore, time.Now())
 	reply := from.state.AnswerPull(&gossippb.PullRequest{})
 	size := proto.Size(reply)
 	t.Logf("%d bytes, %d packed", plain, size)
 	const link, daemons, relays = 20e6 / 8, 60, 2
 	c.Check(float64(daemons/relays*size)/link < 1, qt.IsTrue, qt.Commentf("%d bytes", size))
 	to.state.HandlePullReply(reply)
-	c.Check(to.state.listing.digest, qt.Equals, from.state.listing.digest)
-	c.Check(to.state.listing.entries, qt.HasLen, 3000)
+	c.Check(to.state.serverList.digest, qt.Equals, from.state.serverList.digest)
+	c.Check(to.state.serverList.entries, qt.HasLen, 3000)
 }
 
-// TestChangesAreSmallOnTheWire: 900 of 1,000 servers that leave at once reach the 33 daemons
+// TestServerChangesAreCompressed: 900 of 1,000 servers that leave at once reach the 33 daemons
 // of a zone over the links of 10 Mbit/s of two relays within half a second, in place of
 // 2.6 s.
-func TestChangesAreSmallOnTheWire(t *testing.T) {
+func TestServerChangesAreCompressed(t *testing.T) {
 	c := qt.New(t)
 	object := func(i int, state string, revision int64) store.Object {
 		spec := fmt.Sprintf(`{"service":"nora11a","address":"10.%d.%d.%d:8309","zone":"hall-nord","version":"v1","slots":48,"state":"%s","coldLeftMs":0,"seq":%d,"stage":"both","models":[{"name":"m","version":1,"adapters":[]}]}`, i%5, i/250, i%250, state, i*17%97)
@@ -71,15 +71,15 @@
 	}
 	from, to := testRouter(t).state, testRouter(t).state
 	now := time.Now()
-	from.takeServers(objects, 2000, fromStore, now)
+	from.replaceServers(objects, 2000, sourceStore, now)
 	to.HandlePullReply(from.AnswerPull(&gossippb.PullRequest{}))
 	plain := 0
 	for i := range 900 {
 		leaving := object(i, "draining", int64(3000+i))
 		plain += len(leaving.Name) + len(leaving.Spec)
-		from.changeServers(changes{put: []store.Object{leaving}}, now)
+		from.updateServers(serverChanges{put: []store.Object{leaving}}, now)
 	}
-	from.listing.revision = 4000
+	from.serverList.revision = 4000
 	reply := from.AnswerPull(to.PullRequest())
 	c.Assert(reply.GetPartial(), qt.IsTrue)
 	size := proto.Size(reply)
@@ -88,7 +88,7 @@
 	c.Check(float64(daemons*size)/relays/link < 0.5, qt.IsTrue, qt.Commentf("%d bytes", size))
 	c.Check(&from.AnswerPull(to.PullRequest()).GetPackedServers()[0], qt.Equals, &reply.GetPackedServers()[0], qt.Commentf("packed once for all that ask"))
 	to.HandlePullReply(reply)
-	c.Check(to.listing.digest, qt.Equals, from.listing.digest)
+	c.Check(to.serverList.digest, qt.Equals, from.serverList.digest)
 	ready := 0
 	for _, s := range to.view.Servers(now) {
 		if s.Ready {
@@ -98,14 +98,14 @@
 	c.Check(ready, qt.Equals, 100)
 }
 
-func TestBrokenListOfAPeerIsLeftAlone(t *testing.T) {
+func TestInvalidPeerServerListIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	r := testRouter(t)
 	r.state.HandlePullReply(&gossippb.PullReply{ServersRevision: 9, PackedServers: []byte("not packed")})
 	c.Check(r.state.view.ListReceived(), qt.IsFalse)
 }
 
-func TestBrokenConfigurationOfAPeerIsLeftAlone(t *testing.T) {
+func TestInvalidPeerConfigurationIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	r := testRouter(t)
 	r.state.HandlePullReply(&gossippb.PullReply{ConfigVersion: 9, Config: []byte("not packed")})
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -11,14 +11,14 @@
 func (r *Router) newQuarantine() *watch.Watcher {
 	return watch.New(watch.Options{
 		ReportInterval: func(now time.Time) time.Duration { return r.node.ReportInterval(now) },
-		NotifyPeers:    r.soon,
+		NotifyPeers:    r.triggerReport,
 		Logger:         r.logger,
 	})
 }
 
-// learnHeld takes over what the record of the lease says of requests that end servers. A
+// mergeHeld takes over what the record of the lease says of requests that end servers. A
 // daemon that is cut off from the holder reads the record in its turn.
-func (s *state) learnHeld(memory lease.Snapshot) {
+func (s *state) mergeHeld(memory lease.Snapshot) {
 	now := time.Now()
 	s.quarantine.Merge(memory.HeldRequests, max(0, now.Sub(time.UnixMilli(memory.HeldAtMs))), now)
 }
--- a/internal/router/register.go
+++ b/internal/router/register.go
@@ -28,7 +28,7 @@
 
 // registration is the progress of register: what was known is recalled, and the allowances are opened.
 type registration struct {
-	recalled, opened bool
+	snapshotLoaded, allowancesRestored bool
 }
 
 // register learns of the other daemons and of what was known before, and writes this
@@ -56,46 +56,46 @@
 		return err
 	}
 	var unread error
-	if !done.recalled {
-		memory, err := r.holder.LoadMemory(ctx)
+	if !done.snapshotLoaded {
+		memory, err := r.elector.LoadMemory(ctx)
 		if err == nil {
 			memory, err = r.latestUses(ctx, memory)
 		}
 		if err == nil {
-			done.opened = r.state.recall(memory, len(page.Objects), time.Now())
-			done.recalled = true
+			done.allowancesRestored = r.state.restoreSnapshot(memory, len(page.Objects), time.Now())
+			done.snapshotLoaded = true
 		}
 		unread = err
 	}
-	if err := r.enter(ctx, page); err != nil {
+	if err := r.writeEntry(ctx, page); err != nil {
 		return err
 	}
-	if done.recalled && !done.opened {
-		unread = r.openWithoutRecord(ctx)
-		done.opened = unread == nil
+	if done.snapshotLoaded && !done.allowancesRestored {
+		unread = r.restoreWithoutRecord(ctx)
+		done.allowancesRestored = unread == nil
 	}
 	return unread
 }
 
-// openWithoutRecord counts the most that the workspaces may have used since the first daemon started:
+// restoreWithoutRecord counts the most that the workspaces may have used since the first daemon started:
 // all that ran before may have died without writing a record.
-func (r *Router) openWithoutRecord(ctx context.Context) error {
+func (r *Router) restoreWithoutRecord(ctx context.Context) error {
 	page, err := r.objects.List(ctx, daemonKind)
 	if err != nil {
 		return err
 	}
-	begun, known := firstStart(page)
+	begun, known := earliestStart(page)
 	if !known {
 		r.logger.Warn("no record of what the workspaces use: allowances count as used up for a window, unless a peer tells more")
 		return nil
 	}
-	r.state.limiter.open(allowance.Snapshot{Unrecorded: true, Age: max(0, r.state.started.Sub(begun))})
+	r.state.limiter.restore(allowance.Snapshot{Unrecorded: true, Age: max(0, r.state.started.Sub(begun))})
 	return nil
 }
 
-// firstStart returns when the first of the listed daemons started. It returns false if an entry does not
+// earliestStart returns when the first of the listed daemons started. It returns false if an entry does not
 // tell.
-func firstStart(page store.Page) (time.Time, bool) {
+func earliestStart(page store.Page) (time.Time, bool) {
 	first := int64(math.MaxInt64)
 	for _, object := range page.Objects {
 		var entry daemonEntry
@@ -116,9 +116,9 @@
 	return r.objects.ListStale(ctx, daemonKind)
 }
 
-// enter learns of the listed daemons and writes this one's entry if it is missing.
-func (r *Router) enter(ctx context.Context, page store.Page) error {
-	standing, revision := r.learn(page, time.Now())
+// writeEntry learns of the listed daemons and writes this one's entry if it is missing.
+func (r *Router) writeEntry(ctx context.Context, page store.Page) error {
+	standing, revision := r.learnMembers(page, time.Now())
 	own := daemonEntry{Zone: r.settings.VM.Zone, Address: r.settings.Listen.Peers, SinceMs: standing.SinceMs}
 	if revision == 0 {
 		own.SinceMs = r.state.started.UnixMilli()
@@ -126,10 +126,10 @@
 	defer func() {
 		r.registered.Store(true)
 		select {
-		case r.found <- struct{}{}:
+		case r.peersLearned <- struct{}{}:
 		default:
 		}
-		r.state.useReach(time.Now())
+		r.state.applyReach(time.Now())
 		r.node.TriggerReport()
 	}()
 	if standing == own {
@@ -147,14 +147,14 @@
 	return err
 }
 
-// learn takes over who the other daemons are, all of them: a lead that knows a part of its
+// learnMembers takes over who the other daemons are, all of them: a lead that knows a part of its
 // zone is heard by that part alone. It returns this daemon's own entry with its revision,
 // or zero.
-func (r *Router) learn(page store.Page, now time.Time) (own daemonEntry, revision int64) {
+func (r *Router) learnMembers(page store.Page, now time.Time) (own daemonEntry, revision int64) {
 	for _, object := range page.Objects {
 		var entry daemonEntry
 		if err := json.Unmarshal(object.Spec, &entry); err != nil {
-			r.bad.note(&store.BadObject{Kind: daemonKind, Name: object.Name, Fault: store.FaultUnreadable}, now)
+			r.badObjects.record(&store.BadObject{Kind: daemonKind, Name: object.Name, Fault: store.FaultUnreadable}, now)
 			continue
 		}
 		if object.Name == r.settings.VM.ID {
--- a/internal/router/register_test.go
+++ b/internal/router/register_test.go
@@ -31,23 +31,23 @@
 	for i := range 5 {
 		add(fmt.Sprintf("z-%d", i), daemonEntry{Zone: "z", Address: fmt.Sprintf("10.2.1.%d:1", i)})
 	}
-	c.Assert(r.enter(t.Context(), page), qt.IsNil)
+	c.Assert(r.writeEntry(t.Context(), page), qt.IsNil)
 	c.Check(r.members.Known(time.Now()), qt.HasLen, 6)
 }
 
-// TestRolesAreLookedAtOnceOthersAreKnown: without waiting for the next regular look.
-func TestRolesAreLookedAtOnceOthersAreKnown(t *testing.T) {
+// TestRolesAreCheckedOnceMembersAreKnown: without waiting for the next regular look.
+func TestRolesAreCheckedOnceMembersAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		r := testRouter(t)
-		r.follow()
+		r.createFollowers()
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go r.watchRole(ctx)
 		time.Sleep(15 * time.Millisecond)
 		c.Check(r.following.Load(), qt.IsFalse)
 		r.registered.Store(true)
-		r.found <- struct{}{}
+		r.peersLearned <- struct{}{}
 		synctest.Wait()
 		c.Check(r.following.Load(), qt.IsTrue)
 		cancel()
@@ -55,8 +55,8 @@
 	})
 }
 
-// TestFirstStartIsKnownOnlyIfAllEntriesTellIt guards against taking the daemons of an older version for new ones.
-func TestFirstStartIsKnownOnlyIfAllEntriesTellIt(t *testing.T) {
+// TestEarliestStartNeedsAllEntries guards against taking the daemons of an older version for new ones.
+func TestEarliestStartNeedsAllEntries(t *testing.T) {
 	c := qt.New(t)
 	page := func(specs ...string) (page store.Page) {
 		for i, spec := range specs {
@@ -74,7 +74,7 @@
 		{page(`{"zone":"z","since_ms":7}`, `unreadable`), 0, false},
 		{page(), 0, false},
 	} {
-		first, known := firstStart(test.page)
+		first, known := earliestStart(test.page)
 		c.Check(known, qt.Equals, test.known)
 		if known {
 			c.Check(first.UnixMilli(), qt.Equals, test.first)
--- a/internal/router/removal_test.go
+++ b/internal/router/removal_test.go
@@ -9,8 +9,8 @@
 	"github.com/plankridge/plankridge/internal/store"
 )
 
-// removed is the event of a removal. It bears the last revision that the entry had.
-func removed(i int, last int64) store.Event {
+// removalEvent is the event of a removal. It bears the last revision that the entry had.
+func removalEvent(i int, last int64) store.Event {
 	return store.Event{Object: listedServer(i, last), Deleted: true}
 }
 
@@ -35,19 +35,19 @@
 		serverConsumer{s}.Replace(list, false)
 	}
 	// The other relay hears of a new server at 15, before the removal at 18.
-	apply(otherRelay, 15, store.Event{Object: listedServer(3, 15)})
+	applyEvents(otherRelay, 15, store.Event{Object: listedServer(3, 15)})
 	member.HandlePullReply(otherRelay.AnswerPull(member.PullRequest()))
-	c.Assert(member.listing.revision, qt.Equals, int64(15))
+	c.Assert(member.serverList.revision, qt.Equals, int64(15))
 	// The relay hears of both at once.
-	apply(relay, 20, store.Event{Object: listedServer(3, 15)}, removed(1, 1))
+	applyEvents(relay, 20, store.Event{Object: listedServer(3, 15)}, removalEvent(1, 1))
 	member.HandlePullReply(relay.AnswerPull(member.PullRequest()))
-	c.Check(member.listing.revision, qt.Equals, int64(20))
+	c.Check(member.serverList.revision, qt.Equals, int64(20))
 	c.Check(readyServers(member, now), qt.DeepEquals, []string{"i-2", "i-3"})
-	c.Check(member.listing.digest, qt.Equals, relay.listing.digest)
+	c.Check(member.serverList.digest, qt.Equals, relay.serverList.digest)
 }
 
-// apply takes over what one call of the watch has brought, as the follower does.
-func apply(s *state, revision int64, events ...store.Event) {
+// applyEvents takes over what one call of the watch has brought, as the follower does.
+func applyEvents(s *state, revision int64, events ...store.Event) {
 	serverConsumer{s}.Apply(events, revision)
 	serverConsumer{s}.Advance(revision, time.Now(), false)
 }
@@ -65,27 +65,27 @@
 // TestLaterWordsStand: the store's words come by more than one way and in any order; the one of
 // the highest revision stands, whether it says that the server is there or that it is not.
 func TestLaterWordsStand(t *testing.T) {
-	entry := func(revision int64) changes {
-		return changes{put: []store.Object{listedServer(1, revision)}, from: "peer"}
+	entry := func(revision int64) serverChanges {
+		return serverChanges{put: []store.Object{listedServer(1, revision)}, from: "peer"}
 	}
-	removal := func(revision int64) changes {
-		return changes{removed: []gone{{id: "i-1", revision: revision}}, from: "peer"}
+	removal := func(revision int64) serverChanges {
+		return serverChanges{removed: []removedServer{{id: "i-1", revision: revision}}, from: "peer"}
 	}
 	for name, play := range map[string]struct {
-		words []changes
+		words []serverChanges
 		ready []string
 	}{
-		"removal, then an older entry":       {[]changes{entry(3), removal(7), entry(5)}, nil},
-		"removal of a server not heard of":   {[]changes{removal(7), entry(5)}, nil},
-		"back again, then an older removal":  {[]changes{entry(3), entry(9), removal(7)}, []string{"i-1"}},
-		"removal, then back again":           {[]changes{entry(3), removal(7), entry(9)}, []string{"i-1"}},
-		"removal twice, back between by now": {[]changes{removal(7), entry(9), removal(7)}, []string{"i-1"}},
+		"removal, then an older entry":       {[]serverChanges{entry(3), removal(7), entry(5)}, nil},
+		"removal of a server not heard of":   {[]serverChanges{removal(7), entry(5)}, nil},
+		"back again, then an older removal":  {[]serverChanges{entry(3), entry(9), removal(7)}, []string{"i-1"}},
+		"removal, then back again":           {[]serverChanges{entry(3), removal(7), entry(9)}, []string{"i-1"}},
+		"removal twice, back between by now": {[]serverChanges{removal(7), entry(9), removal(7)}, []string{"i-1"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			s, now := testRouter(t).state, time.Now()
 			for _, word := range play.words {
-				s.changeServers(word, now)
+				s.updateServers(word, now)
 			}
 			c.Check(readyServers(s, now), qt.DeepEquals, play.ready)
 		})
@@ -97,12 +97,12 @@
 func TestListThatIsBehindChangesNothing(t *testing.T) {
 	c := qt.New(t)
 	s, now := testRouter(t).state, time.Now()
-	s.takeServers([]store.Object{listedServer(1, 1), listedServer(2, 2)}, 10, fromStore, now)
-	s.changeServers(changes{removed: []gone{{id: "i-1", revision: 14}}, put: []store.Object{listedServer(3, 13)}, from: "peer", upTo: 15}, now)
-	s.takeServers([]store.Object{listedServer(1, 1), listedServer(2, 2)}, 12, fromStore, now)
+	s.replaceServers([]store.Object{listedServer(1, 1), listedServer(2, 2)}, 10, sourceStore, now)
+	s.updateServers(serverChanges{removed: []removedServer{{id: "i-1", revision: 14}}, put: []store.Object{listedServer(3, 13)}, from: "peer", upTo: 15}, now)
+	s.replaceServers([]store.Object{listedServer(1, 1), listedServer(2, 2)}, 12, sourceStore, now)
 	c.Check(readyServers(s, now), qt.DeepEquals, []string{"i-2", "i-3"})
 	// One of the same revision is the store's word on all of them.
-	s.takeServers([]store.Object{listedServer(2, 2)}, 15, fromStore, now)
+	s.replaceServers([]store.Object{listedServer(2, 2)}, 15, sourceStore, now)
 	c.Check(readyServers(s, now), qt.DeepEquals, []string{"i-2"})
 }
 
@@ -114,13 +114,13 @@
 	serverConsumer{lead}.Replace(store.Page{Objects: []store.Object{listedServer(1, 1), listedServer(2, 2)}, Revision: 10}, false)
 	c.Assert(member.HandlePullReply(lead.AnswerPull(member.PullRequest())), qt.IsFalse)
 	// A change is lost on the way to the member, whose revision says that it has it.
-	apply(lead, 15, store.Event{Object: listedServer(3, 12)})
-	member.listing.revision = 15
-	apply(lead, 20, store.Event{Object: listedServer(4, 18)})
+	applyEvents(lead, 15, store.Event{Object: listedServer(3, 12)})
+	member.serverList.revision = 15
+	applyEvents(lead, 20, store.Event{Object: listedServer(4, 18)})
 	c.Assert(member.HandlePullReply(lead.AnswerPull(member.PullRequest())), qt.IsTrue)
 	c.Check(member.PullRequest().GetServersRevision(), qt.Equals, int64(0))
 	c.Check(member.HandlePullReply(lead.AnswerPull(member.PullRequest())), qt.IsFalse)
-	c.Check(member.listing.digest, qt.Equals, lead.listing.digest)
+	c.Check(member.serverList.digest, qt.Equals, lead.serverList.digest)
 	c.Check(readyServers(member, now), qt.HasLen, 4)
 	c.Check(member.PullRequest().GetServersRevision(), qt.Equals, int64(20))
 }
--- a/internal/router/rollouts.go
+++ b/internal/router/rollouts.go
@@ -13,14 +13,14 @@
 	"github.com/plankridge/plankridge/platform"
 )
 
-// versionsTick is how often versions are compared, and how often the holder of the lease
+// versionsInterval is how often versions are compared, and how often the holder of the lease
 // looks at what is next: a bad version costs some requests for each.
-const versionsTick = 100 * time.Millisecond
+const versionsInterval = 100 * time.Millisecond
 
-// writeAgain is the time between two tries to write how far roll-outs are, while the store
+// stateRetryInterval is the time between two tries to write how far roll-outs are, while the store
 // refuses: each call is paid for, and it has to be written within a second of the store's
 // return.
-const writeAgain = 500 * time.Millisecond
+const stateRetryInterval = 500 * time.Millisecond
 
 // orderConsumer takes the orders to move services to other versions from the store.
 type orderConsumer struct{ *Router }
@@ -33,14 +33,14 @@
 	for _, object := range page.Objects {
 		order, err := platform.DecodeRollOut(object)
 		if err != nil {
-			c.bad.note(err, now)
+			c.badObjects.record(err, now)
 			unread = append(unread, object.Name)
 			continue
 		}
 		orders = append(orders, order)
 	}
-	c.board.ReplaceOrders(orders, unread, page.Revision, now)
-	c.useVersions(now)
+	c.rollOuts.ReplaceOrders(orders, unread, page.Revision, now)
+	c.applyVersions(now)
 }
 
 // Apply implements store.Consumer.
@@ -48,45 +48,45 @@
 	now := time.Now()
 	for _, event := range events {
 		if event.Deleted {
-			c.board.Withdraw(event.Object.Name, event.Object.Revision, now)
+			c.rollOuts.Withdraw(event.Object.Name, event.Object.Revision, now)
 			continue
 		}
 		order, err := platform.DecodeRollOut(event.Object)
 		if err != nil {
 			// What stood there before stays in force.
-			c.bad.note(err, now)
+			c.badObjects.record(err, now)
 			continue
 		}
-		c.takeOrder(order, "store", now)
+		c.applyOrder(order, "store", now)
 	}
-	c.useVersions(now)
+	c.applyVersions(now)
 	c.node.TriggerReport()
 }
 
 // Advance implements store.Consumer.
 func (c orderConsumer) Advance(revision int64, _ time.Time, failing bool) {
 	if !failing {
-		c.board.AdvanceRevision(revision)
+		c.rollOuts.AdvanceRevision(revision)
 	}
 }
 
-// takeOrder takes over an order and writes down what is new of it.
-func (r *Router) takeOrder(order rollout.Order, source string, now time.Time) {
-	if r.board.ApplyOrder(order, now) {
+// applyOrder takes over an order and writes down what is new of it.
+func (r *Router) applyOrder(order rollout.Order, source string, now time.Time) {
+	if r.rollOuts.ApplyOrder(order, now) {
 		r.logger.Info("roll-out", "service", order.Service, "version", order.Version, "state", order.State.String(),
 			"duration_ms", order.Duration.Milliseconds(), "revision", order.Revision, "source", source)
 	}
 }
 
-// hearRollOuts takes over what another daemon tells of the orders.
-func (r *Router) hearRollOuts(status *gossippb.Status, now time.Time) {
-	if !r.board.Enabled() {
+// mergeRollOuts takes over what another daemon tells of the orders.
+func (r *Router) mergeRollOuts(status *gossippb.Status, now time.Time) {
+	if !r.rollOuts.Enabled() {
 		return
 	}
-	halts := r.board.Merge(decodeRollOuts(status.GetRollOuts()), status.GetRollOutsRead(), now)
+	halts := r.rollOuts.Merge(decodeRollOuts(status.GetRollOuts()), status.GetRollOutsRead(), now)
 	if len(halts) > 0 {
 		r.logHalts(halts)
-		r.useVersions(now)
+		r.applyVersions(now)
 	}
 }
 
@@ -101,68 +101,68 @@
 	}
 }
 
-// useVersions takes over which versions of each service may be used.
-func (r *Router) useVersions(now time.Time) {
-	if !r.board.Enabled() {
+// applyVersions takes over which versions of each service may be used.
+func (r *Router) applyVersions(now time.Time) {
+	if !r.rollOuts.Enabled() {
 		return
 	}
-	r.nameVersions(now)
-	for service, v := range r.board.Versions(now) {
+	r.initStableVersions(now)
+	for service, v := range r.rollOuts.Versions(now) {
 		r.state.view.SetVersions(service, backend.Versions{Enforced: true, Stable: v.Stable, Candidate: v.Candidate, AllCandidates: v.AllServers})
 	}
 }
 
-// nameVersions names the stable version of services that have none yet, by the servers that
+// initStableVersions names the stable version of services that have none yet, by the servers that
 // are listed.
-func (r *Router) nameVersions(now time.Time) {
+func (r *Router) initStableVersions(now time.Time) {
 	c := r.state.Catalog()
 	if c == nil {
 		return
 	}
 	unnamed := map[string]map[string]int{}
 	for service := range c.Services {
-		if !r.board.StableKnown(service) {
+		if !r.rollOuts.StableKnown(service) {
 			unnamed[service] = map[string]int{}
 		}
 	}
 	if len(unnamed) == 0 {
 		return
 	}
-	for _, count := range r.state.view.CountVersions(r.board.Revision(), now) {
+	for _, count := range r.state.view.CountVersions(r.rollOuts.Revision(), now) {
 		if found, wanted := unnamed[count.Service]; wanted {
 			found[count.Version] += count.Servers
 		}
 	}
 	for service, found := range unnamed {
-		r.board.SetInitialStable(service, found)
+		r.rollOuts.SetInitialStable(service, found)
 	}
-	r.askForOrders(unnamed)
+	r.refreshOrders(unnamed)
 }
 
-// askForOrders lists the roll-outs at once where servers of services that have no version yet are
+// refreshOrders lists the roll-outs at once where servers of services that have no version yet are
 // newer than the orders that are known: the watch reports at its end only that there are no others.
-func (r *Router) askForOrders(unnamed map[string]map[string]int) {
+func (r *Router) refreshOrders(unnamed map[string]map[string]int) {
 	newest := r.state.view.NewestRevision(func(service string) bool { return unnamed[service] != nil })
-	asked := r.ordersAsked.Load()
-	if newest <= max(asked, r.board.Revision()) || !r.following.Load() {
+	asked := r.ordersRefreshedFor.Load()
+	if newest <= max(asked, r.rollOuts.Revision()) || !r.following.Load() {
 		return
 	}
-	if r.ordersAsked.CompareAndSwap(asked, newest) {
-		r.orders.Refresh(true)
+	if r.ordersRefreshedFor.CompareAndSwap(asked, newest) {
+		r.orderFollower.Refresh(true)
 	}
 }
 
 // watchVersions compares the versions while a roll-out runs.
 func (r *Router) watchVersions(ctx context.Context) {
-	ticker := time.NewTicker(versionsTick)
+	ticker := time.NewTicker(versionsInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case now := <-ticker.C:
-			if r.board.Active() {
-				r.logHalts(r.board.Observe(r.state.versionSums(now), now))
+			if r.rollOuts.Active() {
+				r.logHalts(r.rollOuts.Observe(r.state.versionSums(now), now))
 			}
-			r.useVersions(now)
+			r.applyVersions(now)
 		case <-ctx.Done():
 			return
 		}
@@ -171,37 +171,37 @@
 
 // versionSums returns how the versions answered at all daemons that are heard.
 func (s *state) versionSums(now time.Time) rollout.Tallies {
-	if s.listens(now) == "" {
-		return s.sums.All(now).Versions
+	if s.currentLeader(now) == "" {
+		return s.aggregator.All(now).Versions
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lead.versions
+	return s.leader.versions
 }
 
-// rolling reports whether a service is on its way to another version.
-func (r *Router) rolling(service string) bool {
-	return r.board.Enabled() && r.board.VersionUnsettled(service)
+// versionUnsettled reports whether a service is on its way to another version.
+func (r *Router) versionUnsettled(service string) bool {
+	return r.rollOuts.Enabled() && r.rollOuts.VersionUnsettled(service)
 }
 
 // driveRollOuts moves the roll-outs on while this daemon holds the lease.
 func (r *Router) driveRollOuts(ctx context.Context) {
-	ticker := time.NewTicker(versionsTick)
+	ticker := time.NewTicker(versionsInterval)
 	defer ticker.Stop()
 	var refused time.Time
 	for {
 		select {
 		case now := <-ticker.C:
-			right, holds := r.holder.Token()
+			right, holds := r.elector.Token()
 			if !holds {
 				continue
 			}
-			outcomes := r.board.Advance(right.Fence, r.fleetOf(now), now)
-			if now.Sub(refused) < writeAgain {
+			outcomes := r.rollOuts.Advance(right.Fence, r.fleetAt(now), now)
+			if now.Sub(refused) < stateRetryInterval {
 				continue
 			}
 			for _, outcome := range outcomes {
-				if !r.writeOutcome(ctx, outcome) {
+				if !r.writeState(ctx, outcome) {
 					refused = time.Now()
 				}
 			}
@@ -211,8 +211,8 @@
 	}
 }
 
-// fleetOf returns what the holder sees of a service's servers.
-func (r *Router) fleetOf(now time.Time) rollout.FleetFunc {
+// fleetAt returns what the holder sees of a service's servers.
+func (r *Router) fleetAt(now time.Time) rollout.FleetFunc {
 	return func(service, stable, candidate string) rollout.Fleet {
 		var fleet rollout.Fleet
 		for _, count := range r.state.view.CountVersions(math.MaxInt64, now) {
@@ -228,9 +228,9 @@
 	}
 }
 
-// writeOutcome writes how far a roll-out is, if the order is still as it was. What the store
+// writeState writes how far a roll-out is, if the order is still as it was. What the store
 // then has is taken over. It returns false where nothing is known of that.
-func (r *Router) writeOutcome(ctx context.Context, outcome rollout.StateChange) bool {
+func (r *Router) writeState(ctx context.Context, outcome rollout.StateChange) bool {
 	order := outcome.Order
 	object, err := r.objects.ReplaceStatus(ctx, platform.KindRollOuts, order.Service, order.Revision, platform.EncodeRollOutStatus(order, outcome.State))
 	if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrOutcomeUnknown) || errors.Is(err, store.ErrNotFound) {
@@ -240,7 +240,7 @@
 	}
 	now := time.Now()
 	if errors.Is(err, store.ErrNotFound) {
-		r.board.Withdraw(order.Service, order.Revision+1, now)
+		r.rollOuts.Withdraw(order.Service, order.Revision+1, now)
 		return true
 	}
 	if err != nil {
@@ -249,12 +249,12 @@
 	}
 	standing, err := platform.DecodeRollOut(object)
 	if err != nil {
-		r.bad.note(err, now)
+		r.badObjects.record(err, now)
 		return false
 	}
 	r.logger.Info("state of a roll-out written", "service", order.Service, "version", order.Version, "state", outcome.State.String(), "why", outcome.Reason, "revision", object.Revision)
-	r.takeOrder(standing, "own write", now)
-	r.useVersions(now)
+	r.applyOrder(standing, "own write", now)
+	r.applyVersions(now)
 	r.node.TriggerReport()
 	return true
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -44,14 +44,14 @@
 	// were idle for up to four fifths of the operator's limit, 15 s today; one
 	// that is kept for longer does no harm.
 	idleTimeout = 75 * time.Second
-	// housekeeping is the time between two sweeps of idle connections.
-	housekeeping = time.Second
-	// tellPaces is the time between two log lines with what was learned of the engines.
-	tellPaces = 10 * time.Second
-	// notice is how long the daemon goes on accepting after it has reported
+	// housekeepingInterval is the time between two sweeps of idle connections.
+	housekeepingInterval = time.Second
+	// engineLogInterval is the time between two log lines with what was learned of the engines.
+	engineLogInterval = 10 * time.Second
+	// unreadyDelay is how long the daemon goes on accepting after it has reported
 	// itself as not ready: the balancer asks once a second and takes it out
 	// after two misses.
-	notice = 2300 * time.Millisecond
+	unreadyDelay = 2300 * time.Millisecond
 	// exitMargin is left of the time until the process is killed.
 	exitMargin = 600 * time.Millisecond
 )
@@ -73,72 +73,72 @@
 	incarnation uint64
 	metrics     *prometheus.Registry
 
-	state   *state
-	pool    *upstream.Pool
-	objects store.Store
-	members *gossip.Members
-	node    *gossip.Node
-	holder  *duty.Elector
-	configs *store.Follower
-	servers *store.Follower
+	state          *state
+	pool           *upstream.Pool
+	objects        store.Store
+	members        *gossip.Members
+	node           *gossip.Node
+	elector        *duty.Elector
+	configFollower *store.Follower
+	serverFollower *store.Follower
 	// registered is set once this daemon knows of the others.
 	registered atomic.Bool
-	// found gets a value then: roles are looked at at once. After the death of all a daemon
+	// peersLearned gets a value then: roles are looked at at once. After the death of all a daemon
 	// knows the others 15 to 60 ms after its start, and the next look is at 100 ms.
-	found     chan struct{}
-	following atomic.Bool
-	sentinel  atomic.Bool
-	// unledAt is since when no relay is heard that the store answers. It is used by
+	peersLearned chan struct{}
+	following    atomic.Bool
+	sentinel     atomic.Bool
+	// unfollowedSince is since when no relay is heard that the store answers. It is used by
 	// watchRole alone.
-	unledAt time.Time
-	budget  *retrybudget.Budget
-	bad     *badObjects
+	unfollowedSince time.Time
+	budget          *retrybudget.Budget
+	badObjects      *badObjects
 	// listsDiffer counts lists of servers that differ from the peer's that told them.
 	listsDiffer prometheus.Counter
-	// board is what this daemon knows of versions, orders their follower.
-	board  *rollout.Tracker
-	orders *store.Follower
-	// ordersAsked is the revision of the servers for which orders were last listed at once.
-	ordersAsked atomic.Int64
-	draining    atomic.Bool
-
-	callers   net.Listener
-	readiness net.Listener
-	exposed   net.Listener
-	peers     net.Listener
-
-	callerHTTP *http.Server
-	http       []httpServer
-	cloud      *platform.Cloud
+	// rollOuts is what this daemon knows of versions, orders their follower.
+	rollOuts      *rollout.Tracker
+	orderFollower *store.Follower
+	// ordersRefreshedFor is the revision of the servers for which orders were last listed at once.
+	ordersRefreshedFor atomic.Int64
+	draining           atomic.Bool
+
+	callerListener    net.Listener
+	readinessListener net.Listener
+	metricsListener   net.Listener
+	peerListener      net.Listener
+
+	callerHTTP  *http.Server
+	httpServers []httpServer
+	cloud       *platform.Cloud
 }
 
 // New builds a router and opens its listeners.
 func New(options Options) (*Router, error) {
 	s := options.Settings
 	r := &Router{
-		settings:    s,
-		logger:      options.Logger.With("vm", s.VM.ID),
-		incarnation: rand.Uint64(),
-		metrics:     prometheus.NewRegistry(),
-		found:       make(chan struct{}, 1),
-		pool:        upstream.NewPool(options.Network, dialTimeout),
-		members:     gossip.NewMembers(gossip.Identity{VM: s.VM.ID, Zone: s.VM.Zone, Address: s.Listen.Peers}, s.Peers.Seeds),
+		settings:     s,
+		logger:       options.Logger.With("vm", s.VM.ID),
+		incarnation:  rand.Uint64(),
+		metrics:      prometheus.NewRegistry(),
+		peersLearned: make(chan struct{}, 1),
+		pool:         upstream.NewPool(options.Network, dialTimeout),
+		members:      gossip.NewMembers(gossip.Identity{VM: s.VM.ID, Zone: s.VM.Zone, Address: s.Listen.Peers}, s.Peers.Seeds),
 		budget: retrybudget.New(retrybudget.Bounds{
 			RetryRatio: s.Bounds.RetryRatio, ExtraRetries: s.Bounds.RetryExtra, Window: s.Bounds.RetryWindow.Std(),
 		}),
 	}
-	r.metrics.MustRegister(collectors.NewGoCollector(), beliefs{r})
+	r.metrics.MustRegister(collectors.NewGoCollector(), stateCollector{r})
 	client := &http.Client{Transport: network.Transport(options.Network, false)}
 	r.objects = platform.NewStore("http://"+s.Store.Address, client)
 	r.cloud = platform.NewCloud("http://"+s.Cloud.Address, client)
-	r.bad = newBadObjects(r.metrics, r.logger)
+	r.badObjects = newBadObjects(r.metrics, r.logger)
 	r.listsDiffer = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "plankridge_server_lists_differ_total", Help: "Lists of servers that differed from the peer's that told them, at one revision of the store.",
 	})
 	r.metrics.MustRegister(r.listsDiffer)
-	r.board = rollout.New(rollout.Bounds{Share: s.Bounds.RollOutShare, Slack: s.Bounds.RollOutSlack, Stop: s.Bounds.RollOutStop.Std()})
+	r.rollOuts = rollout.New(rollout.Bounds{Share: s.Bounds.RollOutShare, Slack: s.Bounds.RollOutSlack, Stop: s.Bounds.RollOutStop.Std()})
 	r.state = newState(r)
-	if r.board.Enabled() {
+	if r.rollOuts.Enabled() {
 		r.state.view.EnforceVersions()
 	}
 	r.pool.OnDial = r.state.view.RecordDial
@@ -146,7 +146,7 @@
 		r.closeListeners()
 		return nil, err
 	}
-	r.build(options.OnViolation)
+	r.buildComponents(options.OnViolation)
 	r.buildServers()
 	return r, nil
 }
@@ -156,9 +156,9 @@
 		address string
 		into    *net.Listener
 	}{
-		{r.settings.Listen.Callers, &r.callers},
-		{r.settings.Listen.Readiness, &r.readiness},
-		{r.settings.Listen.Metrics, &r.exposed},
+		{r.settings.Listen.Callers, &r.callerListener},
+		{r.settings.Listen.Readiness, &r.readinessListener},
+		{r.settings.Listen.Metrics, &r.metricsListener},
 	}
 	for _, l := range listeners {
 		if l.address == "" {
@@ -174,19 +174,19 @@
 		VM: r.settings.VM.ID, Zone: r.settings.VM.Zone, Address: r.settings.Listen.Peers, Incarnation: r.incarnation,
 		Network: n, Members: r.members, Source: r.state, Sink: r.state, Logger: r.logger,
 	})
-	r.node, r.peers = node, peers
+	r.node, r.peerListener = node, peers
 	return err
 }
 
 func (r *Router) closeListeners() {
-	for _, l := range []net.Listener{r.callers, r.readiness, r.exposed, r.peers} {
+	for _, l := range []net.Listener{r.callerListener, r.readinessListener, r.metricsListener, r.peerListener} {
 		if l != nil {
 			_ = l.Close()
 		}
 	}
 }
 
-func (r *Router) build(onViolation func(error)) {
+func (r *Router) buildComponents(onViolation func(error)) {
 	forwarder := forward.New(forward.Options{
 		Zone:            r.settings.VM.Zone,
 		View:            r.state.view,
@@ -195,11 +195,11 @@
 		Budget:          r.budget,
 		Usage:           r.state.ledger,
 		Demand:          r.state.demand,
-		CallerTimeouts:  r.state.limits,
-		OnLargePrompt:   r.state.notice,
-		OnAdviceChanged: r.soon,
+		CallerTimeouts:  r.state.firstTryLimits,
+		OnLargePrompt:   r.state.sendNotice,
+		OnAdviceChanged: r.triggerReport,
 
-		RollOuts:   r.board,
+		RollOuts:   r.rollOuts,
 		Quarantine: r.state.quarantine,
 		Freshness:  r.state.Freshness,
 		Logger:     r.logger,
@@ -209,19 +209,19 @@
 	})
 	ingress := &platform.Ingress{Catalog: r.state.awaitCatalog, Forwarder: forwarder, Logger: r.logger}
 	r.callerHTTP = &http.Server{
-		Handler:           closingWhile(&r.draining, ingress),
+		Handler:           closeConnectionsWhile(&r.draining, ingress),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		ErrorLog:          slog.NewLogLogger(r.logger.Handler(), slog.LevelDebug),
 	}
-	r.holder = duty.NewElector(duty.Options{
+	r.elector = duty.NewElector(duty.Options{
 		Self: r.settings.VM.ID, Address: r.settings.Listen.Peers, Incarnation: r.incarnation, Duration: r.settings.Bounds.Lease.Std(),
-		Store: r.objects, Peers: peersOf{r}, Logger: r.logger, NotifyPeers: r.node.TriggerReport, BuildMemory: r.state.remember, OnMemory: r.state.learnHeld,
+		Store: r.objects, Peers: dutyPeers{r}, Logger: r.logger, NotifyPeers: r.node.TriggerReport, BuildMemory: r.state.buildSnapshot, OnMemory: r.state.mergeHeld,
 	})
 }
 
-// closingWhile asks callers to use another connection while the daemon drains.
-func closingWhile(draining *atomic.Bool, next http.Handler) http.Handler {
+// closeConnectionsWhile asks callers to use another connection while the daemon drains.
+func closeConnectionsWhile(draining *atomic.Bool, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if draining.Load() {
 			w.Header().Set("Connection", "close")
@@ -242,7 +242,7 @@
 		background.Go(func() { loop(loops) })
 	}
 	failed := make(chan error, 3)
-	for _, server := range r.http {
+	for _, server := range r.httpServers {
 		background.Go(func() { failed <- ignoreClosed(server.Serve(server.listener)) })
 	}
 	r.logger.Info("daemon started", "zone", r.settings.VM.Zone, "callers", r.settings.Listen.Callers,
@@ -255,7 +255,7 @@
 	case err = <-failed:
 	}
 	stop()
-	for _, server := range r.http {
+	for _, server := range r.httpServers {
 		_ = server.Close()
 	}
 	r.pool.Close()
@@ -266,34 +266,34 @@
 
 // loops are the daemon's background jobs.
 func (r *Router) loops() []func(context.Context) {
-	r.follow()
+	r.createFollowers()
 	loops := []func(context.Context){
-		r.configs.Run,
-		r.servers.Run,
+		r.configFollower.Run,
+		r.serverFollower.Run,
 		r.watchRole,
 		r.probeStore,
-		func(ctx context.Context) { r.node.Run(ctx, r.peers) },
+		func(ctx context.Context) { r.node.Run(ctx, r.peerListener) },
 		r.register,
 		r.housekeep,
 		r.exchangeHeld,
 	}
-	if r.board.Enabled() {
-		loops = append(loops, r.orders.Run, r.watchVersions, r.driveRollOuts)
+	if r.rollOuts.Enabled() {
+		loops = append(loops, r.orderFollower.Run, r.watchVersions, r.driveRollOuts)
 	}
 	if r.settings.Cloud.Address == "" {
 		return loops
 	}
 	exchange := &duty.Exchange{
-		Self: r.settings.VM.ID, Incarnation: r.incarnation, Store: r.objects, Ledger: r.state.ledger, Peers: peersOf{r}, Logger: r.logger,
+		Self: r.settings.VM.ID, Incarnation: r.incarnation, Store: r.objects, Ledger: r.state.ledger, Peers: dutyPeers{r}, Logger: r.logger,
 	}
 	reporter := &duty.Reporter{
-		Elector: r.holder, Cloud: r.cloud, Ledger: r.state.ledger, Peers: peersOf{r}, Exchange: exchange, Logger: r.logger,
+		Elector: r.elector, Cloud: r.cloud, Ledger: r.state.ledger, Peers: dutyPeers{r}, Exchange: exchange, Logger: r.logger,
 		Deadline: r.settings.Bounds.UsageDue.Std(),
 	}
 	scaler := &duty.Scaler{
-		Elector: r.holder, Cloud: r.cloud, View: r.state.view, Catalog: r.state.Catalog, Demand: r.state.Demand, VersionUnsettled: r.rolling, Logger: r.logger,
+		Elector: r.elector, Cloud: r.cloud, View: r.state.view, Catalog: r.state.Catalog, Demand: r.state.Demand, VersionUnsettled: r.versionUnsettled, Logger: r.logger,
 	}
-	return append(loops, r.holder.Run, r.keepUses, exchange.Run, reporter.Run, scaler.Run)
+	return append(loops, r.elector.Run, r.recordUses, exchange.Run, reporter.Run, scaler.Run)
 }
 
 // httpServer is an HTTP server with its listener.
@@ -304,12 +304,12 @@
 
 // buildServers makes the HTTP servers, that of the callers first.
 func (r *Router) buildServers() {
-	r.http = []httpServer{
-		{r.callerHTTP, r.callers},
-		{&http.Server{Handler: platform.NewReadiness(r.Ready), ReadHeaderTimeout: headerTimeout}, r.readiness},
+	r.httpServers = []httpServer{
+		{r.callerHTTP, r.callerListener},
+		{&http.Server{Handler: platform.NewReadiness(r.Ready), ReadHeaderTimeout: headerTimeout}, r.readinessListener},
 	}
-	if r.exposed != nil {
-		r.http = append(r.http, httpServer{&http.Server{Handler: r.metricsHandler(), ReadHeaderTimeout: headerTimeout}, r.exposed})
+	if r.metricsListener != nil {
+		r.httpServers = append(r.httpServers, httpServer{&http.Server{Handler: r.metricsHandler(), ReadHeaderTimeout: headerTimeout}, r.metricsListener})
 	}
 }
 
@@ -328,10 +328,10 @@
 	r.draining.Store(true)
 	ctx, cancel := context.WithDeadline(kill, end)
 	defer cancel()
-	r.holder.Release(ctx)
+	r.elector.Release(ctx)
 	r.node.TriggerReport()
 	select {
-	case <-time.After(notice):
+	case <-time.After(unreadyDelay):
 	case <-ctx.Done():
 	}
 	if err := r.callerHTTP.Shutdown(ctx); err != nil {
@@ -339,12 +339,12 @@
 	}
 }
 
-// soon lets the next report go out at once.
-func (r *Router) soon() { r.node.TriggerReport() }
+// triggerReport lets the next report go out at once.
+func (r *Router) triggerReport() { r.node.TriggerReport() }
 
 // housekeep keeps the shares of shared limits and the idle connections.
 func (r *Router) housekeep(ctx context.Context) {
-	ticker := time.NewTicker(housekeeping)
+	ticker := time.NewTicker(housekeepingInterval)
 	defer ticker.Stop()
 	told := time.Now()
 	suspended := steady.Suspended()
@@ -352,14 +352,14 @@
 		select {
 		case now := <-ticker.C:
 			r.pool.Sweep(now)
-			r.state.shareLimits(now)
+			r.state.updateShares(now)
 			if all := steady.Suspended(); all > suspended {
 				r.logger.Warn("VM was suspended", "for_ms", (all - suspended).Milliseconds())
 				suspended = all
 			}
-			if now.Sub(told) >= tellPaces {
+			if now.Sub(told) >= engineLogInterval {
 				told = now
-				r.state.logPaces()
+				r.state.logEngineFigures()
 			}
 		case <-ctx.Done():
 			return
@@ -367,21 +367,21 @@
 	}
 }
 
-// shareLimits sets this daemon's part of the limits that all daemons share.
-func (s *state) shareLimits(now time.Time) {
-	s.sums.Sweep(now)
+// updateShares sets this daemon's part of the limits that all daemons share.
+func (s *state) updateShares(now time.Time) {
+	s.aggregator.Sweep(now)
 	s.view.Sweep(now)
-	if s.listens(now) == "" {
-		s.useOwnSums(now)
+	if s.currentLeader(now) == "" {
+		s.applyOwnSums(now)
 	}
-	s.useReach(now)
+	s.applyReach(now)
 }
 
-// peersOf tells the duties of the other daemons. It implements duty.Peers.
-type peersOf struct{ *Router }
+// dutyPeers tells the duties of the other daemons. It implements duty.Peers.
+type dutyPeers struct{ *Router }
 
 // HolderReachable implements duty.Peers.
-func (p peersOf) HolderReachable() bool {
+func (p dutyPeers) HolderReachable() bool {
 	now := time.Now()
 	for _, peer := range p.members.Reachable(now) {
 		if peer.Fence != 0 {
@@ -393,23 +393,23 @@
 }
 
 // Rank implements duty.Peers.
-func (p peersOf) Rank() int { return p.plan(time.Now()).DutyRank }
+func (p dutyPeers) Rank() int { return p.plan(time.Now()).DutyRank }
 
 // AllReachable implements duty.Peers.
-func (p peersOf) AllReachable() bool {
+func (p dutyPeers) AllReachable() bool {
 	_, complete := p.state.reach(time.Now())
 	return complete
 }
 
 // Zone implements duty.Peers.
-func (p peersOf) Zone() (name string, sums, cut bool) {
+func (p dutyPeers) Zone() (name string, sums, cut bool) {
 	now := time.Now()
 	name = p.settings.VM.Zone
-	if p.state.listens(now) != "" {
+	if p.state.currentLeader(now) != "" {
 		return name, false, false
 	}
 	plan := p.plan(now)
-	_, complete := p.state.sums.Reach(now)
+	_, complete := p.state.aggregator.Reach(now)
 	return name, plan.Leader, !plan.Leader || !complete
 }
 
--- a/internal/router/serverlimits.go
+++ b/internal/router/serverlimits.go
@@ -13,19 +13,19 @@
 	"github.com/plankridge/plankridge/internal/rollup"
 )
 
-// serverAccount begins the names of the accounts of servers among those of workspaces. A key in
+// serverAccountPrefix begins the names of the accounts of servers among those of workspaces. A key in
 // hexadecimal follows.
-const serverAccount = "server/"
+const serverAccountPrefix = "server/"
 
 // serverLimits shares the limits that servers name among all daemons. It implements
 // backend.Limiter.
 type serverLimits struct{ *allowances }
 
-func accountOf(server uint32) string { return fmt.Sprintf("%s%08x", serverAccount, server) }
+func accountOf(server uint32) string { return fmt.Sprintf("%s%08x", serverAccountPrefix, server) }
 
 // serverOf returns the key of the server that an account belongs to.
 func serverOf(account string) (server uint32, found bool) {
-	text, found := strings.CutPrefix(account, serverAccount)
+	text, found := strings.CutPrefix(account, serverAccountPrefix)
 	if !found {
 		return 0, false
 	}
@@ -74,9 +74,9 @@
 	}
 }
 
-// withoutOldLimits leaves out the accounts of servers that have no limit any more: sums hold all
+// dropUnlimitedAccounts leaves out the accounts of servers that have no limit any more: sums hold all
 // that there ever were.
-func (s *state) withoutOldLimits(sums rollup.Counts, now time.Time) {
+func (s *state) dropUnlimitedAccounts(sums rollup.Counts, now time.Time) {
 	limited := s.view.LimitedKeys(now)
 	ended := func(account string, _ float64) bool {
 		server, found := serverOf(account)
--- a/internal/router/serverlimits_test.go
+++ b/internal/router/serverlimits_test.go
@@ -13,7 +13,7 @@
 	"github.com/plankridge/plankridge/internal/rollup"
 )
 
-func TestLimitsOnTheWire(t *testing.T) {
+func TestServerLimitEncoding(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	limited := advice.LimitRecord{Server: 7, Limit: advice.Limit{Rate: 1.2, Limited: true, ObservedAt: now.Add(-time.Second)}}
@@ -26,7 +26,7 @@
 	c.Check(future[0].ObservedAt, qt.Equals, now)
 }
 
-func TestAccountsOfServers(t *testing.T) {
+func TestServerAccountNames(t *testing.T) {
 	c := qt.New(t)
 	server, found := serverOf(accountOf(0xab))
 	c.Check(found, qt.IsTrue)
@@ -37,9 +37,9 @@
 	}
 }
 
-// TestSumsLeaveOutServersWithoutLimit guards against reports that grow with each server that ever
+// TestSumsOmitServersWithoutLimit guards against reports that grow with each server that ever
 // had a limit.
-func TestSumsLeaveOutServersWithoutLimit(t *testing.T) {
+func TestSumsOmitServersWithoutLimit(t *testing.T) {
 	c := qt.New(t)
 	s := testRouter(t).state
 	entry := backend.Entry{ID: "i-1", Service: "s"}
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -19,12 +19,12 @@
 
 // state is what the daemon believes.
 type state struct {
-	router  *Router
-	view    *backend.View
-	limiter *allowances
-	ledger  *usage.Ledger
-	demand  *demand.Meter
-	limits  *firsttry.CallerTimeouts
+	router         *Router
+	view           *backend.View
+	limiter        *allowances
+	ledger         *usage.Ledger
+	demand         *demand.Meter
+	firstTryLimits *firsttry.CallerTimeouts
 	// quarantine holds back requests that end servers.
 	quarantine *watch.Watcher
 	catalog    atomic.Pointer[catalog.Catalog]
@@ -32,82 +32,82 @@
 	// configured is closed with the first configuration.
 	configured chan struct{}
 
-	// sums are over what daemons report here.
-	sums *rollup.Aggregator
+	// aggregator are over what daemons report here.
+	aggregator *rollup.Aggregator
 
 	mu sync.Mutex
-	// listing are the backend servers, as peers exchange them.
-	listing *listing
-	// provenAt is when the store was last known to list just the servers that this daemon
-	// believes in, failingAt when it last gave no answer, and storeBackAt when it came back.
-	provenAt    time.Time
-	failingAt   time.Time
-	storeBackAt time.Time
-	// unreachedAt is when the store was last found to be out of reach, or zero once it has
+	// serverList are the backend servers, as peers exchange them.
+	serverList *serverList
+	// listConfirmedAt is when the store was last known to list just the servers that this daemon
+	// believes in, storeFailedAt when it last gave no answer, and storeReturnedAt when it came back.
+	listConfirmedAt time.Time
+	storeFailedAt   time.Time
+	storeReturnedAt time.Time
+	// storeUnreachableAt is when the store was last found to be out of reach, or zero once it has
 	// answered since.
-	unreachedAt time.Time
-	// historyGoneAt is when the store was last found to have dropped its history, by this daemon or
-	// another one, and historyGoneFoundAt when by this one.
-	historyGoneAt, historyGoneFoundAt time.Time
-	// answered is set once the store has answered since this daemon follows it.
-	answered bool
-	// differs is since when each peer that is ahead shows other servers.
-	differs map[string]time.Time
-	// wantAll is set when the changes that a peer tells do not make the lists alike.
-	wantAll bool
-	// summedAt is when this daemon last took over its own sums. It is used by the
+	storeUnreachableAt time.Time
+	// compactedAt is when the store was last found to have dropped its history, by this daemon or
+	// another one, and compactionDetectedAt when by this one.
+	compactedAt, compactionDetectedAt time.Time
+	// storeAnswered is set once the store has answered since this daemon follows it.
+	storeAnswered bool
+	// differsSince is since when each peer that is ahead shows other servers.
+	differsSince map[string]time.Time
+	// pullFullList is set when the changes that a peer tells do not make the lists alike.
+	pullFullList bool
+	// ownSumsAt is when this daemon last took over its own sums. It is used by the
 	// goroutine that reads datagrams alone.
-	summedAt time.Time
-	// sent holds what this daemon itself had used, by the sequence of the report.
-	sent map[uint64]rollup.Counts
-	lead leadAccount
+	ownSumsAt time.Time
+	// sentCounts holds what this daemon itself had used, by the sequence of the report.
+	sentCounts map[uint64]rollup.Counts
+	leader     leaderTotals
 
 	// packedLists are packed forms of the list of servers, the newest first.
 	packedLists []packedList
 
-	// packing guards the packed form of the configuration in force.
-	packing       sync.Mutex
-	packed        []byte
-	packedVersion int64
+	// packedConfigMu guards the packed form of the configuration in force.
+	packedConfigMu      sync.Mutex
+	packedConfigBytes   []byte
+	packedConfigVersion int64
 
-	// told is the number of daemons that a lead told of, at toldAt.
-	told   int
-	toldAt time.Time
+	// reportedDaemons is the number of daemons that a lead told of, at reportedDaemonsAt.
+	reportedDaemons   int
+	reportedDaemonsAt time.Time
 }
 
-// failingFor is how long the store counts as failing after the last call without
+// storeFailingFor is how long the store counts as failing after the last call without
 // an answer. A daemon that leaves the store to another one tries again then.
-const failingFor = 5 * time.Second
+const storeFailingFor = 5 * time.Second
 
-// storeFailing reports whether the store does not answer this daemon; the caller
+// storeFailingLocked reports whether the store does not answer this daemon; the caller
 // holds the lock.
-func (s *state) storeFailing() bool {
-	return !s.failingAt.IsZero() && time.Since(s.failingAt) < failingFor
+func (s *state) storeFailingLocked() bool {
+	return !s.storeFailedAt.IsZero() && time.Since(s.storeFailedAt) < storeFailingFor
 }
 
-// outOfReach notes that the store does not reach this daemon.
-func (s *state) outOfReach() {
+// recordUnreachable notes that the store does not reach this daemon.
+func (s *state) recordUnreachable() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unreachedAt = time.Now()
+	s.storeUnreachableAt = time.Now()
 }
 
-// unreached reports whether the store is out of reach, or does not answer. The caller holds the
+// storeUnavailableLocked reports whether the store is out of reach, or does not answer. The caller holds the
 // lock.
-func (s *state) unreached() bool {
-	return s.storeFailing() || (!s.unreachedAt.IsZero() && time.Since(s.unreachedAt) < failingFor)
+func (s *state) storeUnavailableLocked() bool {
+	return s.storeFailingLocked() || (!s.storeUnreachableAt.IsZero() && time.Since(s.storeUnreachableAt) < storeFailingFor)
 }
 
 func newState(r *Router) *state {
 	now := time.Now()
 	view := backend.NewView()
 	view.SetDrainBound(r.settings.Bounds.EffectiveLeavingLimit())
-	limiter := newAllowances(toleranceOf(r.settings.Bounds), r.logger, r.soon)
+	limiter := newAllowances(toleranceOf(r.settings.Bounds), r.logger, r.triggerReport)
 	view.SetLimiter(serverLimits{limiter})
 	return &state{
 		router: r, view: view, limiter: limiter, ledger: newLedger(r.settings),
-		demand: demand.NewMeter(), limits: firsttry.NewCallerTimeouts(), sums: rollup.New(), sent: map[uint64]rollup.Counts{},
-		quarantine: r.newQuarantine(), started: now, configured: make(chan struct{}), listing: newListing(), differs: map[string]time.Time{},
+		demand: demand.NewMeter(), firstTryLimits: firsttry.NewCallerTimeouts(), aggregator: rollup.New(), sentCounts: map[uint64]rollup.Counts{},
+		quarantine: r.newQuarantine(), started: now, configured: make(chan struct{}), serverList: newServerList(), differsSince: map[string]time.Time{},
 	}
 }
 
@@ -123,27 +123,27 @@
 func (s *state) Demand(service string) demand.Load {
 	now := time.Now()
 	own := s.demand.Rates(now)[service]
-	if s.listens(now) == "" {
-		return own.Add(s.sums.Others(now).Demand[service])
+	if s.currentLeader(now) == "" {
+		return own.Add(s.aggregator.Others(now).Demand[service])
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return own.Add(s.lead.demand[service].Minus(s.lead.without[service]))
+	return own.Add(s.leader.demand[service].Minus(s.leader.ownDemand[service]))
 }
 
-// failing reports whether the store does not answer this daemon, or does not reach it.
-func (s *state) failing() bool {
+// storeUnavailable reports whether the store does not answer this daemon, or does not reach it.
+func (s *state) storeUnavailable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.unreached()
+	return s.storeUnavailableLocked()
 }
 
-// takeConfig puts a configuration in force unless it is older than the present
+// applyConfig puts a configuration in force unless it is older than the present
 // one.
-func (s *state) takeConfig(raw []byte, source string) {
+func (s *state) applyConfig(raw []byte, source string) {
 	c, err := platform.DecodeConfig(raw)
 	if err != nil {
-		s.router.bad.note(err, time.Now())
+		s.router.badObjects.record(err, time.Now())
 		return
 	}
 	s.mu.Lock()
@@ -171,7 +171,7 @@
 		close(s.configured)
 	}
 	s.router.logger.Info("configuration in force", "config_version", c.Version, "source", source, "routes", len(c.Routes), "workspaces", len(c.Workspaces))
-	s.router.useVersions(time.Now())
+	s.router.applyVersions(time.Now())
 	s.router.node.TriggerReport()
 }
 
--- a/internal/router/talk_test.go
+++ b/internal/router/talk_test.go
@@ -44,17 +44,17 @@
 	}
 }
 
-// followerState returns the state of a daemon that has been running for an hour and has vm-0 for its lead.
-func followerState(t *testing.T, now time.Time) *state {
+// newFollowerState returns the state of a daemon that has been running for an hour and has vm-0 for its lead.
+func newFollowerState(t *testing.T, now time.Time) *state {
 	s := testRouter(t).state
 	s.started = now.Add(-time.Hour)
 	s.router.members.Learn("vm-0", "zone-1", "10.1.0.9:82", now)
 	return s
 }
 
-// hearSums lets a daemon hear empty sums of vm-0, which holds its report of a sequence and hears some of nine daemons.
-func hearSums(s *state, uptime time.Duration, taken uint64, heard int, now time.Time) {
-	s.heardLead(&gossippb.Status{
+// deliverLeaderTotals lets a daemon hear empty sums of vm-0, which holds its report of a sequence and hears some of nine daemons.
+func deliverLeaderTotals(s *state, uptime time.Duration, taken uint64, heard int, now time.Time) {
+	s.applyLeaderTotals(&gossippb.Status{
 		Vm: "vm-0", Incarnation: 2, UptimeMs: uptime.Milliseconds(), Taken: taken,
 		Reach: encodeReach(rollup.Reach{Reachable: heard, Known: 9}),
 	}, encodeCounts(rollup.NewCounts()), now)
@@ -65,9 +65,9 @@
 func TestLeadThatHasJustStartedEndsNoTrust(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
-	s := followerState(t, now)
-	s.lead = leadAccount{vm: "vm-0", incarnation: 1, at: now, taken: 3, reach: rollup.Reach{Reachable: 9, Known: 9}}
-	s.sent[4] = rollup.NewCounts()
+	s := newFollowerState(t, now)
+	s.leader = leaderTotals{vm: "vm-0", incarnation: 1, receivedAt: now, includedSequence: 3, reach: rollup.Reach{Reachable: 9, Known: 9}}
+	s.sentCounts[4] = rollup.NewCounts()
 	for _, step := range []struct {
 		uptime time.Duration
 		taken  uint64
@@ -78,15 +78,15 @@
 		{100 * time.Millisecond, 4, 5, 9},
 		{rollup.FreshFor, 4, 5, 5},
 	} {
-		hearSums(s, step.uptime, step.taken, step.heard, now)
+		deliverLeaderTotals(s, step.uptime, step.taken, step.heard, now)
 		reach, _ := s.reach(now)
 		c.Check(reach.Reachable, qt.Equals, step.want, qt.Commentf("%v after the lead's start", step.uptime))
 	}
 }
 
-// TestUsesTellDemand: what a daemon that starts is told of the workspaces' uses bears how fast all are asked, also
+// TestUsesIncludeDemand: what a daemon that starts is told of the workspaces' uses bears how fast all are asked, also
 // for those that used nothing.
-func TestUsesTellDemand(t *testing.T) {
+func TestUsesIncludeDemand(t *testing.T) {
 	c := qt.New(t)
 	uses, asked := decodeUses(encodeUses(map[string]allowance.Usage{"a": {0, 300}}, map[string]float64{"a": 5, "b": 7}))
 	c.Check(uses["a"], qt.Equals, allowance.Usage{0, 300})
@@ -98,13 +98,13 @@
 func TestLeadThatDoesNotHearThisDaemonIsNotHeard(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
-	s := followerState(t, now)
-	s.sent[20] = rollup.NewCounts()
-	hearSums(s, time.Hour, 20, 9, now)
-	c.Assert(s.listens(now), qt.Equals, "vm-0")
+	s := newFollowerState(t, now)
+	s.sentCounts[20] = rollup.NewCounts()
+	deliverLeaderTotals(s, time.Hour, 20, 9, now)
+	c.Assert(s.currentLeader(now), qt.Equals, "vm-0")
 	for tick := range 20 {
 		now = now.Add(100 * time.Millisecond)
-		hearSums(s, time.Hour, 3, 9, now)
-		c.Check(s.listens(now) == "vm-0", qt.Equals, tick < 14, qt.Commentf("%d ms", tick*100+100))
+		deliverLeaderTotals(s, time.Hour, 3, 9, now)
+		c.Check(s.currentLeader(now) == "vm-0", qt.Equals, tick < 14, qt.Commentf("%d ms", tick*100+100))
 	}
 }
