--- a/internal/router/badobjects.go
+++ b/internal/router/badobjects.go
@@ -21,18 +21,18 @@
 	total  *prometheus.CounterVec
 
 	mu          sync.Mutex
-	loggedAt    map[badCause]time.Time
-	sinceLogged map[badCause]int
+	loggedAt    map[badObjectCause]time.Time
+	sinceLogged map[badObjectCause]int
 }
 
-type badCause struct {
+type badObjectCause struct {
 	kind  string
 	fault store.Fault
 }
 
 func newBadObjects(metrics prometheus.Registerer, logger *slog.Logger) *badObjects {
 	b := &badObjects{
-		logger: logger, loggedAt: map[badCause]time.Time{}, sinceLogged: map[badCause]int{},
+		logger: logger, loggedAt: map[badObjectCause]time.Time{}, sinceLogged: map[badObjectCause]int{},
 		total: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "plankridge_store_bad_objects_total", Help: "Objects read from the store that cannot be used, by kind and fault.",
 		}, []string{"kind", "fault"}),
@@ -48,7 +48,7 @@
 		bad = &store.BadObject{Fault: store.FaultUnreadable}
 	}
 	b.total.WithLabelValues(bad.Kind, string(bad.Fault)).Inc()
-	cause := badCause{bad.Kind, bad.Fault}
+	cause := badObjectCause{bad.Kind, bad.Fault}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sinceLogged[cause]++
--- a/internal/router/compaction_test.go
+++ b/internal/router/compaction_test.go
@@ -11,7 +11,7 @@
 
 func TestPeerCompactionIsAppliedOnce(t *testing.T) {
 	c := qt.New(t)
-	s := testRouter(t).state
+	s := newTestRouter(t).state
 	now := time.Now()
 	report := func(ago time.Duration) *gossippb.Status {
 		return &gossippb.Status{HistoryGoneMs: ago.Milliseconds()}
@@ -25,7 +25,7 @@
 
 func TestOnlyDetectedCompactionIsReported(t *testing.T) {
 	c := qt.New(t)
-	s := testRouter(t).state
+	s := newTestRouter(t).state
 	now := time.Now()
 	c.Check(s.compactionAgeMs(now), qt.Equals, int64(0))
 	c.Check(s.recordPeerCompaction(&gossippb.Status{HistoryGoneMs: 1}, now), qt.IsTrue)
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -39,13 +39,13 @@
 // createFollowers makes the followers of the configuration and of the backend servers.
 func (r *Router) createFollowers() {
 	options := store.FollowOptions{WatchTimeout: r.watchWait, OnCompacted: r.handleCompaction, Active: r.following.Load}
-	r.configFollower = store.NewFollower(r.objects, platform.KindConfig, configConsumer{r.state}, r.logger, options)
+	r.configFollower = store.NewFollower(r.objectStore, platform.KindConfig, configConsumer{r.state}, r.logger, options)
 	options.WatchTimeout, options.BatchDelay = r.serversWait, serverBatchWindow
-	r.serverFollower = store.NewFollower(r.objects, platform.KindServers, serverConsumer{r.state}, r.logger, options)
+	r.serverFollower = store.NewFollower(r.objectStore, platform.KindServers, serverConsumer{r.state}, r.logger, options)
 	options.BatchDelay = 0
 	options.WatchTimeout = func() time.Duration { return max(orderWait, r.watchWait()) }
 	options.Active = func() bool { return r.following.Load() && !r.state.storeUnavailable() }
-	r.orderFollower = store.NewFollower(r.objects, platform.KindRollOuts, orderConsumer{r}, r.logger, options)
+	r.orderFollower = store.NewFollower(r.objectStore, platform.KindRollOuts, orderConsumer{r}, r.logger, options)
 }
 
 func (r *Router) watchWait() time.Duration {
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -13,8 +13,8 @@
 	"github.com/plankridge/plankridge/internal/standin/memnet"
 )
 
-// testRouter returns a router that is not running.
-func testRouter(t testing.TB) *Router {
+// newTestRouter returns a router that is not running.
+func newTestRouter(t testing.TB) *Router {
 	const ip = "10.1.0.1"
 	r, err := New(Options{
 		Settings: config.RouterSettings{
@@ -58,7 +58,7 @@
 		if proto.Unmarshal(raw, &status) != nil {
 			return
 		}
-		r := testRouter(t)
+		r := newTestRouter(t)
 		r.state.OwnCounts(1)
 		for range 2 {
 			r.state.HandleReport(&status, true)
@@ -78,7 +78,7 @@
 func FuzzPulled(f *testing.F) {
 	for _, reply := range []*gossippb.PullReply{
 		{ConfigVersion: 3, Config: pack([]byte(`{"version":3,"routes":[]}`))},
-		{ServersRevision: 9, PackedServers: packedWhole(f)},
+		{ServersRevision: 9, PackedServers: packedFullList(f)},
 		{ServersRevision: 12, Partial: true, PackedServers: packedChanges(f), StoreBackMs: 10},
 	} {
 		raw, err := proto.Marshal(reply)
@@ -92,7 +92,7 @@
 		if proto.Unmarshal(raw, &reply) != nil {
 			return
 		}
-		r := testRouter(t)
+		r := newTestRouter(t)
 		r.state.HandlePullReply(&reply)
 		r.state.HandlePullReply(&reply)
 		r.state.AnswerPull(&gossippb.PullRequest{})
@@ -108,8 +108,8 @@
 	return pack(raw)
 }
 
-// packedWhole is a list of one server as a peer tells it.
-func packedWhole(f *testing.F) []byte {
+// packedFullList is a list of one server as a peer tells it.
+func packedFullList(f *testing.F) []byte {
 	raw, err := proto.Marshal(&gossippb.ServerList{Servers: []*gossippb.Server{{Id: "i-1", Spec: []byte(`{"service":"s","address":"10.0.0.1:80","zone":"z","version":"v1","slots":6,"state":"ready","coldLeftMs":0,"seq":1,"born":1764720000000}`), Revision: 8}}})
 	if err != nil {
 		f.Fatal(err)
--- a/internal/router/heldexchange.go
+++ b/internal/router/heldexchange.go
@@ -52,7 +52,7 @@
 // publishHeld writes what this daemon knows.
 func (r *Router) publishHeld(ctx context.Context, now time.Time) bool {
 	own := heldRecord{Reports: r.state.quarantine.Reports(now), WrittenMs: now.UnixMilli()}
-	err := store.Overwrite(ctx, r.objects, heldKind, r.settings.VM.ID, own)
+	err := store.Overwrite(ctx, r.objectStore, heldKind, r.settings.VM.ID, own)
 	if err != nil {
 		r.logger.Warn("requests that are held back not published", "error", err)
 	}
@@ -61,7 +61,7 @@
 
 // collectHeld takes over what others have written.
 func (r *Router) collectHeld(ctx context.Context) {
-	page, err := r.objects.List(ctx, heldKind)
+	page, err := r.objectStore.List(ctx, heldKind)
 	if err != nil {
 		r.logger.Warn("published requests that are held back cannot be read", "error", err)
 		return
--- a/internal/router/keptuses.go
+++ b/internal/router/keptuses.go
@@ -70,7 +70,7 @@
 	if !known || len(uses) == 0 {
 		return
 	}
-	err := store.Overwrite(ctx, r.objects, usesKind, r.settings.VM.Zone, usesRecord{
+	err := store.Overwrite(ctx, r.objectStore, usesKind, r.settings.VM.Zone, usesRecord{
 		Uses: uses, DemandRates: r.state.limiter.demand(), Warmup: r.state.limiter.warmup(), WrittenMs: now.UnixMilli(),
 	})
 	if err != nil {
@@ -83,7 +83,7 @@
 	if memory.WrittenAtMs == 0 || r.state.started.Sub(time.UnixMilli(memory.WrittenAtMs)) < recentRecordAge {
 		return memory, nil
 	}
-	page, err := r.objects.List(ctx, usesKind)
+	page, err := r.objectStore.List(ctx, usesKind)
 	if err != nil {
 		return memory, err
 	}
--- a/internal/router/listing_test.go
+++ b/internal/router/listing_test.go
@@ -11,7 +11,7 @@
 	"github.com/plankridge/plankridge/internal/store"
 )
 
-func listedServer(i int, revision int64) store.Object {
+func serverObject(i int, revision int64) store.Object {
 	spec := fmt.Sprintf(`{"service":"s","address":"10.0.0.%d:80","zone":"z","version":"v1","slots":6,"state":"ready","coldLeftMs":0,"seq":1}`, i)
 	return store.Object{Name: fmt.Sprintf("i-%d", i), Spec: []byte(spec), Revision: revision}
 }
@@ -22,9 +22,9 @@
 	c := qt.New(t)
 	l := newServerList()
 	now := time.Unix(1000, 0)
-	_, broken, _ := l.replace([]store.Object{listedServer(1, 1), listedServer(2, 2)}, 10, now)
+	_, broken, _ := l.replace([]store.Object{serverObject(1, 1), serverObject(2, 2)}, 10, now)
 	c.Assert(broken, qt.HasLen, 0)
-	_, broken, _ = l.replace([]store.Object{listedServer(2, 2), listedServer(3, 12)}, 14, now)
+	_, broken, _ = l.replace([]store.Object{serverObject(2, 2), serverObject(3, 12)}, 14, now)
 	c.Assert(broken, qt.HasLen, 0)
 	changed, removed, ok := l.changesSince(10)
 	c.Check(ok, qt.IsTrue)
@@ -39,13 +39,13 @@
 // TestLaggingDaemonFetchesOnlyChanges, for as long as the servers change.
 func TestLaggingDaemonFetchesOnlyChanges(t *testing.T) {
 	c := qt.New(t)
-	lead, member := testRouter(t).state, testRouter(t).state
+	lead, member := newTestRouter(t).state, newTestRouter(t).state
 	now := time.Now()
-	lead.replaceServers([]store.Object{listedServer(1, 1)}, 1, sourceStore, now)
+	lead.replaceServers([]store.Object{serverObject(1, 1)}, 1, sourceStore, now)
 	member.HandlePullReply(lead.AnswerPull(member.PullRequest()))
 	var late *gossippb.PullReply
 	for i := 2; i < 40; i++ {
-		lead.updateServers(serverChanges{put: []store.Object{listedServer(i, int64(i))}}, now)
+		lead.updateServers(serverChanges{put: []store.Object{serverObject(i, int64(i))}}, now)
 		lead.serverList.revision = int64(i)
 		if late != nil {
 			c.Assert(member.HandlePullReply(late), qt.IsFalse)
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -78,11 +78,11 @@
 	}
 }
 
-// startWait is how long a caller waits at a daemon that has just started for the
+// startupWait is how long a caller waits at a daemon that has just started for the
 // configuration and the servers to be known: the store or a peer told them 10 to 60 ms
 // after the start on the days that were looked at. Longer, a caller with a target of
 // 100 ms, the shortest of today's users, is late anyway and is better sent elsewhere.
-const startWait = 100 * time.Millisecond
+const startupWait = 100 * time.Millisecond
 
 // awaitCatalog returns the configuration in force. A daemon that has just started waits
 // a moment for it and for the list of servers.
@@ -90,7 +90,7 @@
 	if c := s.Catalog(); c != nil && s.view.ListReceived() {
 		return c
 	}
-	ctx, cancel := context.WithTimeout(ctx, startWait)
+	ctx, cancel := context.WithTimeout(ctx, startupWait)
 	defer cancel()
 	select {
 	case <-s.configured:
--- a/internal/router/memory_test.go
+++ b/internal/router/memory_test.go
@@ -25,7 +25,7 @@
 func TestCallerWaitsForTheFirstConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := testRouter(t).state
+		s := newTestRouter(t).state
 		begun := time.Now()
 		got := make(chan *catalog.Catalog)
 		go func() { got <- s.awaitCatalog(context.Background()) }()
@@ -42,13 +42,13 @@
 func TestCallerWaitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := testRouter(t).state
+		s := newTestRouter(t).state
 		begun := time.Now()
 		c.Check(s.awaitCatalog(context.Background()), qt.IsNil)
-		c.Check(time.Since(begun), qt.Equals, startWait)
+		c.Check(time.Since(begun), qt.Equals, startupWait)
 		s.applyConfig([]byte(firstConfig), "test")
 		c.Check(s.awaitCatalog(context.Background()), qt.IsNotNil, qt.Commentf("the servers are not known yet"))
-		c.Check(time.Since(begun), qt.Equals, 2*startWait)
+		c.Check(time.Since(begun), qt.Equals, 2*startupWait)
 	})
 }
 
@@ -56,7 +56,7 @@
 // would take allowances for unused.
 func TestHolderThatKnowsNoUsesKeepsThoseRemembered(t *testing.T) {
 	c := qt.New(t)
-	s := testRouter(t).state
+	s := newTestRouter(t).state
 	standing := lease.Snapshot{WrittenAtMs: 7, RecentUses: map[string]allowance.Usage{"w": {1, 2, 3, 4}}}
 	next := s.buildSnapshot(standing)
 	c.Check(next.RecentUses, qt.DeepEquals, standing.RecentUses)
@@ -67,7 +67,7 @@
 // the counts of windows that nobody else knows any more, and what was learned.
 func TestSnapshotIsRestoredAfterRestart(t *testing.T) {
 	c := qt.New(t)
-	before, after := testRouter(t).state, testRouter(t).state
+	before, after := newTestRouter(t).state, newTestRouter(t).state
 	now := time.Now()
 	window := before.ledger.WindowAt(now)
 	for range 3 {
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -25,7 +25,7 @@
 	configVersion    = describe("config_version", "Version of the configuration in force; 0 before the first.")
 	configAge        = describe("config_age_seconds", "Time since the configuration came into force.")
 	serversListed    = describe("servers", "Backend servers as this daemon believes.", "service", "state")
-	serversLimited   = describe("servers_with_limit", "Backend servers whose answers name a limit.", "service")
+	serversWithLimit = describe("servers_with_limit", "Backend servers whose answers name a limit.", "service")
 	serversAge       = describe("servers_age_seconds", "Time since the store was last known to list just the servers that this daemon believes in.")
 	serversRevision  = describe("servers_revision", "Revision of the store up to which the servers are known.")
 	storeFailing     = describe("store_failing", "1 while the store does not answer this daemon.")
@@ -45,7 +45,7 @@
 
 // Describe implements prometheus.Collector.
 func (b stateCollector) Describe(descs chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{configVersion, configAge, serversListed, serversLimited, serversAge, serversRevision, storeFailing, leaseFence, daemonCount, requestsHeldBack, daemonRole, rollOutState, rollOutHalted, rollOutShare, rollOutSent} {
+	for _, d := range []*prometheus.Desc{configVersion, configAge, serversListed, serversWithLimit, serversAge, serversRevision, storeFailing, leaseFence, daemonCount, requestsHeldBack, daemonRole, rollOutState, rollOutHalted, rollOutShare, rollOutSent} {
 		descs <- d
 	}
 }
@@ -112,7 +112,7 @@
 		}
 	}
 	for service, n := range limited {
-		gauge(serversLimited, float64(n), service)
+		gauge(serversWithLimit, float64(n), service)
 	}
 	for g, n := range counts {
 		gauge(serversListed, float64(n), g.service, g.state)
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -60,7 +60,7 @@
 		if !r.following.Load() || r.state.storeUnavailable() {
 			continue
 		}
-		err := probeOnce(ctx, r.objects, probes)
+		err := probeOnce(ctx, r.objectStore, probes)
 		if err == nil || ctx.Err() != nil {
 			continue
 		}
--- a/internal/router/pull_test.go
+++ b/internal/router/pull_test.go
@@ -22,7 +22,7 @@
 		routes = append(routes, fmt.Sprintf(`{"name":"r-%d","host":"h%d.example","pathPrefix":"/p%d/","kind":"idempotent","timeoutMs":800,"service":"s"}`, i, i, i))
 	}
 	raw := `{"version":3,"routes":[` + strings.Join(routes, ",") + `]}`
-	from, to := testRouter(t), testRouter(t)
+	from, to := newTestRouter(t), newTestRouter(t)
 	from.state.applyConfig([]byte(raw), "test")
 	reply := from.state.AnswerPull(&gossippb.PullRequest{})
 	c.Check(len(reply.GetConfig()) < len(raw)/5, qt.IsTrue, qt.Commentf("%d of %d bytes", len(reply.GetConfig()), len(raw)))
@@ -44,7 +44,7 @@
 		objects = append(objects, store.Object{Name: name, Spec: []byte(spec), Revision: int64(1000 + i)})
 		plain += len(name) + len(spec)
 	}
-	from, to := testRouter(t), testRouter(t)
+	from, to := newTestRouter(t), newTestRouter(t)
 	from.state.replaceServers(objects, 9000, sourceStore, time.Now())
 	reply := from.state.AnswerPull(&gossippb.PullRequest{})
 	size := proto.Size(reply)
@@ -69,7 +69,7 @@
 	for i := range 1000 {
 		objects = append(objects, object(i, "ready", 1000))
 	}
-	from, to := testRouter(t).state, testRouter(t).state
+	from, to := newTestRouter(t).state, newTestRouter(t).state
 	now := time.Now()
 	from.replaceServers(objects, 2000, sourceStore, now)
 	to.HandlePullReply(from.AnswerPull(&gossippb.PullRequest{}))
@@ -100,14 +100,14 @@
 
 func TestInvalidPeerServerListIsIgnored(t *testing.T) {
 	c := qt.New(t)
-	r := testRouter(t)
+	r := newTestRouter(t)
 	r.state.HandlePullReply(&gossippb.PullReply{ServersRevision: 9, PackedServers: []byte("not packed")})
 	c.Check(r.state.view.ListReceived(), qt.IsFalse)
 }
 
 func TestInvalidPeerConfigurationIsIgnored(t *testing.T) {
 	c := qt.New(t)
-	r := testRouter(t)
+	r := newTestRouter(t)
 	r.state.HandlePullReply(&gossippb.PullReply{ConfigVersion: 9, Config: []byte("not packed")})
 	c.Check(r.state.Catalog(), qt.IsNil)
 }
--- a/internal/router/reach.go
+++ b/internal/router/reach.go
@@ -50,7 +50,7 @@
 		return
 	}
 	s.limiter.setReachable(reach.Reachable, reach.Known)
-	s.router.budget.SetDaemons(reach.Known)
+	s.router.retryBudget.SetDaemons(reach.Known)
 }
 
 // reportedDaemonsFor is how long the number of daemons that a lead told is remembered: as long
--- a/internal/router/register.go
+++ b/internal/router/register.go
@@ -23,8 +23,8 @@
 	SinceMs int64 `json:"since_ms,omitempty"`
 }
 
-// registerRetry follows a failed try to register.
-const registerRetry = time.Second
+// registerRetryDelay follows a failed try to register.
+const registerRetryDelay = time.Second
 
 // registration is the progress of register: what was known is recalled, and the allowances are opened.
 type registration struct {
@@ -42,7 +42,7 @@
 		}
 		r.logger.Warn("daemon not registered yet", "error", err)
 		select {
-		case <-time.After(registerRetry):
+		case <-time.After(registerRetryDelay):
 		case <-ctx.Done():
 		}
 	}
@@ -80,7 +80,7 @@
 // restoreWithoutRecord counts the most that the workspaces may have used since the first daemon started:
 // all that ran before may have died without writing a record.
 func (r *Router) restoreWithoutRecord(ctx context.Context) error {
-	page, err := r.objects.List(ctx, daemonKind)
+	page, err := r.objectStore.List(ctx, daemonKind)
 	if err != nil {
 		return err
 	}
@@ -111,9 +111,9 @@
 // are enough to find all others, but for the first start.
 func (r *Router) listDaemons(ctx context.Context) (store.Page, error) {
 	if r.settings.Peers.Bootstrap {
-		return r.objects.List(ctx, daemonKind)
+		return r.objectStore.List(ctx, daemonKind)
 	}
-	return r.objects.ListStale(ctx, daemonKind)
+	return r.objectStore.ListStale(ctx, daemonKind)
 }
 
 // writeEntry learns of the listed daemons and writes this one's entry if it is missing.
@@ -137,9 +137,9 @@
 	}
 	var err error
 	if revision == 0 {
-		_, err = r.objects.Create(ctx, daemonKind, r.settings.VM.ID, own)
+		_, err = r.objectStore.Create(ctx, daemonKind, r.settings.VM.ID, own)
 	} else {
-		_, err = r.objects.Replace(ctx, daemonKind, r.settings.VM.ID, revision, own)
+		_, err = r.objectStore.Replace(ctx, daemonKind, r.settings.VM.ID, revision, own)
 	}
 	if errors.Is(err, store.ErrConflict) {
 		return errors.New("entry was written by another process")
--- a/internal/router/register_test.go
+++ b/internal/router/register_test.go
@@ -18,7 +18,7 @@
 // zone was missing for 20 s.
 func TestRestartLearnsOfAllOthers(t *testing.T) {
 	c := qt.New(t)
-	r := testRouter(t)
+	r := newTestRouter(t)
 	own := daemonEntry{Zone: r.settings.VM.Zone, Address: r.settings.Listen.Peers}
 	var page store.Page
 	add := func(name string, entry daemonEntry) {
@@ -39,7 +39,7 @@
 func TestRolesAreCheckedOnceMembersAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		r := testRouter(t)
+		r := newTestRouter(t)
 		r.createFollowers()
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
--- a/internal/router/removal_test.go
+++ b/internal/router/removal_test.go
@@ -11,7 +11,7 @@
 
 // removalEvent is the event of a removal. It bears the last revision that the entry had.
 func removalEvent(i int, last int64) store.Event {
-	return store.Event{Object: listedServer(i, last), Deleted: true}
+	return store.Event{Object: serverObject(i, last), Deleted: true}
 }
 
 // TestRemovalIsToldToWhoIsPastTheEarlierList: callers' requests reached servers seconds after
@@ -29,17 +29,17 @@
 func TestRemovalIsToldToWhoIsPastTheEarlierList(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
-	list := store.Page{Objects: []store.Object{listedServer(1, 1), listedServer(2, 2)}, Revision: 10}
-	relay, otherRelay, member := testRouter(t).state, testRouter(t).state, testRouter(t).state
+	list := store.Page{Objects: []store.Object{serverObject(1, 1), serverObject(2, 2)}, Revision: 10}
+	relay, otherRelay, member := newTestRouter(t).state, newTestRouter(t).state, newTestRouter(t).state
 	for _, s := range []*state{relay, otherRelay, member} {
 		serverConsumer{s}.Replace(list, false)
 	}
 	// The other relay hears of a new server at 15, before the removal at 18.
-	applyEvents(otherRelay, 15, store.Event{Object: listedServer(3, 15)})
+	applyEvents(otherRelay, 15, store.Event{Object: serverObject(3, 15)})
 	member.HandlePullReply(otherRelay.AnswerPull(member.PullRequest()))
 	c.Assert(member.serverList.revision, qt.Equals, int64(15))
 	// The relay hears of both at once.
-	applyEvents(relay, 20, store.Event{Object: listedServer(3, 15)}, removalEvent(1, 1))
+	applyEvents(relay, 20, store.Event{Object: serverObject(3, 15)}, removalEvent(1, 1))
 	member.HandlePullReply(relay.AnswerPull(member.PullRequest()))
 	c.Check(member.serverList.revision, qt.Equals, int64(20))
 	c.Check(readyServers(member, now), qt.DeepEquals, []string{"i-2", "i-3"})
@@ -66,7 +66,7 @@
 // the highest revision stands, whether it says that the server is there or that it is not.
 func TestLaterWordsStand(t *testing.T) {
 	entry := func(revision int64) serverChanges {
-		return serverChanges{put: []store.Object{listedServer(1, revision)}, from: "peer"}
+		return serverChanges{put: []store.Object{serverObject(1, revision)}, from: "peer"}
 	}
 	removal := func(revision int64) serverChanges {
 		return serverChanges{removed: []removedServer{{id: "i-1", revision: revision}}, from: "peer"}
@@ -83,7 +83,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			s, now := testRouter(t).state, time.Now()
+			s, now := newTestRouter(t).state, time.Now()
 			for _, word := range play.words {
 				s.updateServers(word, now)
 			}
@@ -96,13 +96,13 @@
 // came later.
 func TestListThatIsBehindChangesNothing(t *testing.T) {
 	c := qt.New(t)
-	s, now := testRouter(t).state, time.Now()
-	s.replaceServers([]store.Object{listedServer(1, 1), listedServer(2, 2)}, 10, sourceStore, now)
-	s.updateServers(serverChanges{removed: []removedServer{{id: "i-1", revision: 14}}, put: []store.Object{listedServer(3, 13)}, from: "peer", upTo: 15}, now)
-	s.replaceServers([]store.Object{listedServer(1, 1), listedServer(2, 2)}, 12, sourceStore, now)
+	s, now := newTestRouter(t).state, time.Now()
+	s.replaceServers([]store.Object{serverObject(1, 1), serverObject(2, 2)}, 10, sourceStore, now)
+	s.updateServers(serverChanges{removed: []removedServer{{id: "i-1", revision: 14}}, put: []store.Object{serverObject(3, 13)}, from: "peer", upTo: 15}, now)
+	s.replaceServers([]store.Object{serverObject(1, 1), serverObject(2, 2)}, 12, sourceStore, now)
 	c.Check(readyServers(s, now), qt.DeepEquals, []string{"i-2", "i-3"})
 	// One of the same revision is the store's word on all of them.
-	s.replaceServers([]store.Object{listedServer(2, 2)}, 15, sourceStore, now)
+	s.replaceServers([]store.Object{serverObject(2, 2)}, 15, sourceStore, now)
 	c.Check(readyServers(s, now), qt.DeepEquals, []string{"i-2"})
 }
 
@@ -110,13 +110,13 @@
 // alike, the whole list is fetched at once, however fast the revision goes on.
 func TestListThatDiffersIsAskedForWhole(t *testing.T) {
 	c := qt.New(t)
-	lead, member, now := testRouter(t).state, testRouter(t).state, time.Now()
-	serverConsumer{lead}.Replace(store.Page{Objects: []store.Object{listedServer(1, 1), listedServer(2, 2)}, Revision: 10}, false)
+	lead, member, now := newTestRouter(t).state, newTestRouter(t).state, time.Now()
+	serverConsumer{lead}.Replace(store.Page{Objects: []store.Object{serverObject(1, 1), serverObject(2, 2)}, Revision: 10}, false)
 	c.Assert(member.HandlePullReply(lead.AnswerPull(member.PullRequest())), qt.IsFalse)
 	// A change is lost on the way to the member, whose revision says that it has it.
-	applyEvents(lead, 15, store.Event{Object: listedServer(3, 12)})
+	applyEvents(lead, 15, store.Event{Object: serverObject(3, 12)})
 	member.serverList.revision = 15
-	applyEvents(lead, 20, store.Event{Object: listedServer(4, 18)})
+	applyEvents(lead, 20, store.Event{Object: serverObject(4, 18)})
 	c.Assert(member.HandlePullReply(lead.AnswerPull(member.PullRequest())), qt.IsTrue)
 	c.Check(member.PullRequest().GetServersRevision(), qt.Equals, int64(0))
 	c.Check(member.HandlePullReply(lead.AnswerPull(member.PullRequest())), qt.IsFalse)
--- a/internal/router/rollouts.go
+++ b/internal/router/rollouts.go
@@ -232,11 +232,11 @@
 // then has is taken over. It returns false where nothing is known of that.
 func (r *Router) writeState(ctx context.Context, outcome rollout.StateChange) bool {
 	order := outcome.Order
-	object, err := r.objects.ReplaceStatus(ctx, platform.KindRollOuts, order.Service, order.Revision, platform.EncodeRollOutStatus(order, outcome.State))
+	object, err := r.objectStore.ReplaceStatus(ctx, platform.KindRollOuts, order.Service, order.Revision, platform.EncodeRollOutStatus(order, outcome.State))
 	if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrOutcomeUnknown) || errors.Is(err, store.ErrNotFound) {
 		// Another has written, or the write was carried out and its answer lost.
 		r.logger.Warn("state of a roll-out not written", "service", order.Service, "state", outcome.State.String(), "error", err)
-		object, err = r.objects.Get(ctx, platform.KindRollOuts, order.Service)
+		object, err = r.objectStore.Get(ctx, platform.KindRollOuts, order.Service)
 	}
 	now := time.Now()
 	if errors.Is(err, store.ErrNotFound) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -52,8 +52,8 @@
 	// itself as not ready: the balancer asks once a second and takes it out
 	// after two misses.
 	unreadyDelay = 2300 * time.Millisecond
-	// exitMargin is left of the time until the process is killed.
-	exitMargin = 600 * time.Millisecond
+	// shutdownMargin is left of the time until the process is killed.
+	shutdownMargin = 600 * time.Millisecond
 )
 
 // Options are what a Router is made from.
@@ -75,7 +75,7 @@
 
 	state          *state
 	pool           *upstream.Pool
-	objects        store.Store
+	objectStore    store.Store
 	members        *gossip.Members
 	node           *gossip.Node
 	elector        *duty.Elector
@@ -91,7 +91,7 @@
 	// unfollowedSince is since when no relay is heard that the store answers. It is used by
 	// watchRole alone.
 	unfollowedSince time.Time
-	budget          *retrybudget.Budget
+	retryBudget     *retrybudget.Budget
 	badObjects      *badObjects
 	// listsDiffer counts lists of servers that differ from the peer's that told them.
 	listsDiffer prometheus.Counter
@@ -123,13 +123,13 @@
 		peersLearned: make(chan struct{}, 1),
 		pool:         upstream.NewPool(options.Network, dialTimeout),
 		members:      gossip.NewMembers(gossip.Identity{VM: s.VM.ID, Zone: s.VM.Zone, Address: s.Listen.Peers}, s.Peers.Seeds),
-		budget: retrybudget.New(retrybudget.Bounds{
+		retryBudget: retrybudget.New(retrybudget.Bounds{
 			RetryRatio: s.Bounds.RetryRatio, ExtraRetries: s.Bounds.RetryExtra, Window: s.Bounds.RetryWindow.Std(),
 		}),
 	}
 	r.metrics.MustRegister(collectors.NewGoCollector(), stateCollector{r})
 	client := &http.Client{Transport: network.Transport(options.Network, false)}
-	r.objects = platform.NewStore("http://"+s.Store.Address, client)
+	r.objectStore = platform.NewStore("http://"+s.Store.Address, client)
 	r.cloud = platform.NewCloud("http://"+s.Cloud.Address, client)
 	r.badObjects = newBadObjects(r.metrics, r.logger)
 	r.listsDiffer = prometheus.NewCounter(prometheus.CounterOpts{
@@ -192,7 +192,7 @@
 		View:            r.state.view,
 		Backend:         platform.NewBackendClient(r.pool),
 		Limiter:         r.state.limiter,
-		Budget:          r.budget,
+		Budget:          r.retryBudget,
 		Usage:           r.state.ledger,
 		Demand:          r.state.demand,
 		CallerTimeouts:  r.state.firstTryLimits,
@@ -216,7 +216,7 @@
 	}
 	r.elector = duty.NewElector(duty.Options{
 		Self: r.settings.VM.ID, Address: r.settings.Listen.Peers, Incarnation: r.incarnation, Duration: r.settings.Bounds.Lease.Std(),
-		Store: r.objects, Peers: dutyPeers{r}, Logger: r.logger, NotifyPeers: r.node.TriggerReport, BuildMemory: r.state.buildSnapshot, OnMemory: r.state.mergeHeld,
+		Store: r.objectStore, Peers: dutyPeers{r}, Logger: r.logger, NotifyPeers: r.node.TriggerReport, BuildMemory: r.state.buildSnapshot, OnMemory: r.state.mergeHeld,
 	})
 }
 
@@ -238,7 +238,7 @@
 func (r *Router) Run(ctx, kill context.Context) error {
 	loops, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var background sync.WaitGroup
-	for _, loop := range r.loops() {
+	for _, loop := range r.backgroundLoops() {
 		background.Go(func() { loop(loops) })
 	}
 	failed := make(chan error, 3)
@@ -264,8 +264,8 @@
 	return err
 }
 
-// loops are the daemon's background jobs.
-func (r *Router) loops() []func(context.Context) {
+// backgroundLoops are the daemon's background jobs.
+func (r *Router) backgroundLoops() []func(context.Context) {
 	r.createFollowers()
 	loops := []func(context.Context){
 		r.configFollower.Run,
@@ -284,7 +284,7 @@
 		return loops
 	}
 	exchange := &duty.Exchange{
-		Self: r.settings.VM.ID, Incarnation: r.incarnation, Store: r.objects, Ledger: r.state.ledger, Peers: dutyPeers{r}, Logger: r.logger,
+		Self: r.settings.VM.ID, Incarnation: r.incarnation, Store: r.objectStore, Ledger: r.state.ledger, Peers: dutyPeers{r}, Logger: r.logger,
 	}
 	reporter := &duty.Reporter{
 		Elector: r.elector, Cloud: r.cloud, Ledger: r.state.ledger, Peers: dutyPeers{r}, Exchange: exchange, Logger: r.logger,
@@ -323,7 +323,7 @@
 // shutDown cuts no request: it stays reachable until the balancer has noticed
 // and answers what it has read.
 func (r *Router) shutDown(kill context.Context) {
-	end := time.Now().Add(r.settings.Bounds.DrainTimeout.Std() - exitMargin)
+	end := time.Now().Add(r.settings.Bounds.DrainTimeout.Std() - shutdownMargin)
 	r.logger.Info("shutting down", "until", end)
 	r.draining.Store(true)
 	ctx, cancel := context.WithDeadline(kill, end)
--- a/internal/router/serverlimits.go
+++ b/internal/router/serverlimits.go
@@ -19,7 +19,7 @@
 
 // serverLimits shares the limits that servers name among all daemons. It implements
 // backend.Limiter.
-type serverLimits struct{ *allowances }
+type serverLimits struct{ *limiters }
 
 func accountOf(server uint32) string { return fmt.Sprintf("%s%08x", serverAccountPrefix, server) }
 
--- a/internal/router/serverlimits_test.go
+++ b/internal/router/serverlimits_test.go
@@ -41,7 +41,7 @@
 // had a limit.
 func TestSumsOmitServersWithoutLimit(t *testing.T) {
 	c := qt.New(t)
-	s := testRouter(t).state
+	s := newTestRouter(t).state
 	entry := backend.Entry{ID: "i-1", Service: "s"}
 	s.view.Put(entry, time.Now())
 	sums := func() map[string]float64 {
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -21,7 +21,7 @@
 type state struct {
 	router         *Router
 	view           *backend.View
-	limiter        *allowances
+	limiter        *limiters
 	ledger         *usage.Ledger
 	demand         *demand.Meter
 	firstTryLimits *firsttry.CallerTimeouts
@@ -102,7 +102,7 @@
 	now := time.Now()
 	view := backend.NewView()
 	view.SetDrainBound(r.settings.Bounds.EffectiveLeavingLimit())
-	limiter := newAllowances(toleranceOf(r.settings.Bounds), r.logger, r.triggerReport)
+	limiter := newLimiters(toleranceOf(r.settings.Bounds), r.logger, r.triggerReport)
 	view.SetLimiter(serverLimits{limiter})
 	return &state{
 		router: r, view: view, limiter: limiter, ledger: newLedger(r.settings),
--- a/internal/router/talk_test.go
+++ b/internal/router/talk_test.go
@@ -18,7 +18,7 @@
 // that it would have with each of them, and servers without load are told as such.
 func TestLoadsAreBounded(t *testing.T) {
 	c := qt.New(t)
-	s := testRouter(t).state
+	s := newTestRouter(t).state
 	sums := rollup.NewCounts()
 	idle := map[uint32]bool{}
 	var entries []backend.Entry
@@ -46,7 +46,7 @@
 
 // newFollowerState returns the state of a daemon that has been running for an hour and has vm-0 for its lead.
 func newFollowerState(t *testing.T, now time.Time) *state {
-	s := testRouter(t).state
+	s := newTestRouter(t).state
 	s.started = now.Add(-time.Hour)
 	s.router.members.Learn("vm-0", "zone-1", "10.1.0.9:82", now)
 	return s
