--- a/internal/backend/limits.go
+++ b/internal/backend/limits.go
@@ -35,8 +35,8 @@
 	Admit(server uint32) (admitted time.Time, retryAfter time.Duration, ok bool)
 	// Refund undoes the count of a request that was not sent.
 	Refund(server uint32, admitted time.Time)
-	// Binds reports whether the demand exceeds the server's limit.
-	Binds(server uint32) bool
+	// AtLimit reports whether the demand exceeds the server's limit.
+	AtLimit(server uint32) bool
 }
 
 // SetLimiter sets the limiter. Limits are not enforced without one.
--- a/internal/backend/limits_test.go
+++ b/internal/backend/limits_test.go
@@ -25,7 +25,7 @@
 func (f *fakeLimiter) Lift(server uint32)                   { delete(f.limits, server) }
 func (f *fakeLimiter) Forget(server uint32)                 { delete(f.limits, server) }
 func (f *fakeLimiter) Refund(uint32, time.Time)             { f.refunds++ }
-func (f *fakeLimiter) Binds(server uint32) bool             { return f.remaining[server] == 0 }
+func (f *fakeLimiter) AtLimit(server uint32) bool           { return f.remaining[server] == 0 }
 
 func (f *fakeLimiter) Admit(server uint32) (time.Time, time.Duration, bool) {
 	if f.remaining[server] == 0 {
--- a/internal/backend/view.go
+++ b/internal/backend/view.go
@@ -293,7 +293,7 @@
 	var all []Status
 	for _, s := range v.servers {
 		if s.listed {
-			all = append(all, Status{Entry: s.Entry, Load: s.load(now), Ready: s.ready(), Suspect: s.suspect(now), Barred: !v.versionAllowed(s), Limit: s.limit, AtLimit: s.limit.Limited && v.limiter != nil && v.limiter.Binds(s.key), Age: now.Sub(s.joinedAt)})
+			all = append(all, Status{Entry: s.Entry, Load: s.load(now), Ready: s.ready(), Suspect: s.suspect(now), Barred: !v.versionAllowed(s), Limit: s.limit, AtLimit: s.limit.Limited && v.limiter != nil && v.limiter.AtLimit(s.key), Age: now.Sub(s.joinedAt)})
 		}
 	}
 	slices.SortFunc(all, func(a, b Status) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -17,22 +17,22 @@
 
 func (m *mergedDeployment) check(findings *finding.List) {
 	c := &checker{findings: findings, zones: map[string]bool{}, classes: map[string]*VMClass{}, services: map[string]*Service{}}
-	for _, zone := range zip(m.deployment.Zones, m.zonePlaces) {
+	for _, zone := range withPlaces(m.deployment.Zones, m.zonePlaces) {
 		c.checkName(c.zones[zone.item.Name], "availability zone", zone.item.Name, zone.place)
 		c.zones[zone.item.Name] = true
 	}
-	for _, class := range zip(m.deployment.VMClasses, m.vmClassPlaces) {
+	for _, class := range withPlaces(m.deployment.VMClasses, m.vmClassPlaces) {
 		c.checkName(c.classes[class.item.Name] != nil, "VM class", class.item.Name, class.place)
 		c.classes[class.item.Name] = class.item
 		c.checkVMClass(class)
 	}
-	for _, service := range zip(m.deployment.Services, m.servicePlaces) {
+	for _, service := range withPlaces(m.deployment.Services, m.servicePlaces) {
 		c.checkName(c.services[service.item.Name] != nil, "service", service.item.Name, service.place)
 		c.services[service.item.Name] = service.item
 		c.checkService(service)
 	}
-	c.checkWorkspaces(zip(m.deployment.Workspaces, m.workspacePlaces))
-	c.checkRoutes(zip(m.deployment.Routes, m.routePlaces))
+	c.checkWorkspaces(withPlaces(m.deployment.Workspaces, m.workspacePlaces))
+	c.checkRoutes(withPlaces(m.deployment.Routes, m.routePlaces))
 }
 
 func (c *checker) checkName(known bool, what, name string, at placeFunc) {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -122,7 +122,7 @@
 	return append(all, part...)
 }
 
-func zip[T any](items []T, places []placeFunc) []located[T] {
+func withPlaces[T any](items []T, places []placeFunc) []located[T] {
 	pairs := make([]located[T], len(items))
 	for i := range items {
 		pairs[i] = located[T]{item: &items[i], place: places[i]}
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -68,7 +68,7 @@
 		Zone:        m.self.Zone,
 		Incarnation: m.incarnation,
 		Generation:  m.follower.Generation(),
-		Held:        m.encodeHeld(),
+		Held:        m.encodeQuarantine(),
 		Advice:      m.encodeAdvice(),
 	})
 	if err != nil {
@@ -77,7 +77,7 @@
 	}
 	m.recordReply(process{reply.GetDaemonId(), reply.GetIncarnation()}, callStart)
 	m.handlePeerState(reply.GetDaemonId(), reply.GetIncarnation(), reply.GetGeneration())
-	m.mergeHeld(reply.GetDaemonId(), reply.GetHeld())
+	m.mergeQuarantine(reply.GetDaemonId(), reply.GetHeld())
 	m.mergeAdvice(reply.GetDaemonId(), reply.GetAdvice())
 }
 
--- a/internal/peer/held.go
+++ b/internal/peer/held.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// encodeHeld encodes the known requests during which servers have ended.
-func (m *Mesh) encodeHeld() []byte {
+// encodeQuarantine encodes the known requests during which servers have ended.
+func (m *Mesh) encodeQuarantine() []byte {
 	if m.quarantine == nil {
 		return nil
 	}
@@ -55,8 +55,8 @@
 	return raw
 }
 
-// mergeHeld merges a peer's requests during which servers have ended.
-func (m *Mesh) mergeHeld(peer string, raw []byte) {
+// mergeQuarantine merges a peer's requests during which servers have ended.
+func (m *Mesh) mergeQuarantine(peer string, raw []byte) {
 	if m.quarantine == nil || len(raw) == 0 {
 		return
 	}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -36,13 +36,13 @@
 // Heartbeat implements peerpb.PeerServer.
 func (s *Server) Heartbeat(_ context.Context, in *peerpb.HeartbeatRequest) (*peerpb.HeartbeatResponse, error) {
 	s.mesh.handlePeerState(in.GetDaemonId(), in.GetIncarnation(), in.GetGeneration())
-	s.mesh.mergeHeld(in.GetDaemonId(), in.GetHeld())
+	s.mesh.mergeQuarantine(in.GetDaemonId(), in.GetHeld())
 	s.mesh.mergeAdvice(in.GetDaemonId(), in.GetAdvice())
 	return &peerpb.HeartbeatResponse{
 		DaemonId:    s.mesh.self.ID,
 		Incarnation: s.mesh.incarnation,
 		Generation:  s.follower.Generation(),
-		Held:        s.mesh.encodeHeld(),
+		Held:        s.mesh.encodeQuarantine(),
 		Advice:      s.mesh.encodeAdvice(),
 	}, nil
 }
--- a/internal/router/serverlimits.go
+++ b/internal/router/serverlimits.go
@@ -59,8 +59,8 @@
 	l.servers.Refund(accountOf(server), 1, admitted)
 }
 
-// Binds implements backend.Limiter.
-func (l serverLimits) Binds(server uint32) bool { return l.servers.Binds(accountOf(server), l.now()) }
+// AtLimit implements backend.Limiter.
+func (l serverLimits) AtLimit(server uint32) bool { return l.servers.Binds(accountOf(server), l.now()) }
 
 // mergeLimits merges the limits that a peer reports.
 func (s *state) mergeLimits(status *gossippb.Status, now time.Time) {
