--- a/internal/allowance/rates.go
+++ b/internal/allowance/rates.go
@@ -5,7 +5,7 @@
 // SetRate sets the rate, in tokens per second, of an account that is not part of the configuration,
 // and creates the account if needed. Zero removes the limit. An account that had no limit starts
 // with a full window, because its earlier usage is unknown; tokens become available as the window
-// moves on.
+// moves on. The account counts as restored, so that the limiter uses this window.
 func (l *Limiter) SetRate(name string, rate float64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -29,7 +29,8 @@
 	delete(l.accounts, name)
 }
 
-// Binds reports whether the demand at all daemons together exceeds an account's rate.
+// Binds reports whether an account's rate limits its use: whether the demand at all daemons together
+// exceeds the rate.
 func (l *Limiter) Binds(name string, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/backend/limits.go
+++ b/internal/backend/limits.go
@@ -26,7 +26,7 @@
 type Limiter interface {
 	// SetLimit sets a server's limit in requests per second.
 	SetLimit(server uint32, requestsPerSecond float64)
-	// Lift ends the limit of a server. Forget also drops the counts that are kept for it.
+	// Lift ends the limit of a server but keeps its counts. Forget drops both.
 	Lift(server uint32)
 	Forget(server uint32)
 	// Admit counts a request that this daemon is about to send to a server and returns the time of
@@ -55,7 +55,9 @@
 	LeavingAnnounced bool
 }
 
-// ApplyAdvice applies the advice in the response to the attempt, received at the given time.
+// ApplyAdvice applies the advice in the response to the attempt. answered is when the response was
+// received. The view does not change if the server has been removed or replaced since the attempt
+// began.
 func (c *Choice) ApplyAdvice(a advice.Advice, answered time.Time) AdviceChange {
 	c.view.mu.Lock()
 	defer c.view.mu.Unlock()
@@ -75,7 +77,8 @@
 	return change
 }
 
-// RefundAdmission undoes the count of an attempt that was not sent against its server's limit.
+// RefundAdmission removes an attempt that was not sent from the count of its server's limit. Further
+// calls have no effect.
 func (c *Choice) RefundAdmission() {
 	c.view.mu.Lock()
 	defer c.view.mu.Unlock()
@@ -110,7 +113,8 @@
 	}
 }
 
-// sweepLimits drops limits whose end is no longer reported. The caller holds the lock.
+// sweepLimits drops the limiter's state of servers whose limits ended so long ago that the end is no
+// longer reported. The caller holds the lock.
 func (v *View) sweepLimits(now time.Time) {
 	for _, s := range v.servers {
 		if !s.liftedAt.IsZero() && !s.reportsLimit(now) {
@@ -164,7 +168,7 @@
 	return v.keyIndex
 }
 
-// LimitedKeys returns the keys of all servers that have a limit or had one until recently.
+// LimitedKeys returns the keys of all servers that have a limit or had one within liftedReportTTL.
 func (v *View) LimitedKeys(now time.Time) map[uint32]bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -227,7 +231,7 @@
 	}
 }
 
-// exclude prevents a server from being picked.
+// exclude marks a server as leaving in the list of candidates, so that it is not picked.
 func exclude(servers []route.Server, id string) {
 	for i := range servers {
 		if servers[i].ID == id {
@@ -254,7 +258,7 @@
 	return max(0, first.Sub(now)), true
 }
 
-// availableAt returns when a server that was skipped may be sent a request.
+// availableAt returns when a server that backs off or is at its limit may be sent a request again.
 func (s *server) availableAt() time.Time { return later(s.admissibleAt, s.backoffUntil) }
 
 func later(a, b time.Time) time.Time {
--- a/internal/catalog/admit.go
+++ b/internal/catalog/admit.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Errors of Admit.
+// Errors that Admit returns.
 var (
 	// ErrNoRoute means that no route matches the host and path.
 	ErrNoRoute = errors.New("no route")
@@ -10,7 +10,7 @@
 	ErrUnknownKey = errors.New("key is not known")
 )
 
-// Admission is the result of matching a request with the configuration.
+// Admission is the result of admitting a request: its route, service, workspace and rank.
 type Admission struct {
 	Route *Route
 	// Service is the service selected from the route's splits.
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -87,22 +87,22 @@
 	MaxConns int
 	// Engine is set for services that run model engines.
 	Engine *Engine
-	// Scaling is set for services whose backend servers are ordered automatically.
+	// Scaling is set for services that are scaled automatically.
 	Scaling *Scaling
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is the batch size: the number of requests that an engine runs concurrently.
+	// Slots is the largest batch size: the number of requests that an engine can run concurrently.
 	Slots int
-	// CacheTokens is the KV cache size, in tokens, shared by running requests and cached prompt
-	// parts.
+	// CacheTokens is the size of the KV cache in tokens. Running requests and cached prompt prefixes
+	// share it.
 	CacheTokens int
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
 	// KVBytesPerToken is the size of the KV cache of one token. LinkBytesPerSecond is the bandwidth
-	// of an engine's network link. If either is zero, engines do not fetch prompt parts from each
-	// other.
+	// of an engine's network link. If either is zero, engines do not fetch cached
+	// prompt prefixes from each other.
 	KVBytesPerToken    int
 	LinkBytesPerSecond float64
 }
@@ -119,7 +119,7 @@
 	ZonePrices     map[string]float64
 }
 
-// CallerLimits limit what callers may send and how slowly.
+// CallerLimits limit the size of callers' requests and the time that callers may take.
 type CallerLimits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -179,7 +179,8 @@
 // WorkspaceByKey returns the workspace that the key belongs to, or nil.
 func (c *Catalog) WorkspaceByKey(key string) *Workspace { return c.byKey[sha256.Sum256([]byte(key))] }
 
-// PickService selects one of the route's services by weight. point is uniform in [0, 1).
+// PickService selects one of the route's services by weight. point is uniform in [0, 1). If all
+// weights are zero, it selects the last service.
 func (r *Route) PickService(point float64) string {
 	total := 0
 	for _, s := range r.Splits {
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -22,7 +22,7 @@
 }
 
 // Serve runs a daemon until env.Context is done and then shuts it down gracefully.
-// Router settings start a router, other settings a daemon.Daemon.
+// The kind in the settings determines whether it runs a router or a daemon.Daemon.
 func Serve(env *Environment, settingsPath string) error {
 	if settingsPath == "" {
 		return &UsageError{Message: "--settings is missing: the YAML file with the daemon's settings"}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -35,6 +35,8 @@
 	c.checkRoutes(withPlaces(m.deployment.Routes, m.routePlaces))
 }
 
+// checkName reports a name that is defined twice or contains characters that are not
+// allowed. The decoder reports missing names.
 func (c *checker) checkName(known bool, what, name string, at placeFunc) {
 	if known {
 		c.findings.Addf(at("name"), "%s %q is defined twice", what, name)
@@ -48,6 +50,7 @@
 	return strings.Trim(name, "abcdefghijklmnopqrstuvwxyz0123456789-") == ""
 }
 
+// checkZone reports a reference to an undefined availability zone.
 func (c *checker) checkZone(name string, at finding.Place) {
 	if name != "" && !c.zones[name] {
 		c.findings.Addf(at, "availability zone %q is not defined under zones", name)
@@ -175,8 +178,8 @@
 	}
 }
 
-// checkModelRoute rejects settings that do not apply to a model: generation can
-// always be repeated, and a model has no paths.
+// checkModelRoute rejects settings that do not apply to a model. A model has no paths,
+// and its requests are always idempotent, because an answer can be generated again.
 func (c *checker) checkModelRoute(route located[Route]) {
 	if route.item.Path != "" {
 		c.findings.Addf(route.place("path"), "a model has no paths")
@@ -186,6 +189,7 @@
 	}
 }
 
+// methodsOrAny returns the methods of a route, or "*" if the route applies to all.
 func methodsOrAny(methods []string) []string {
 	if len(methods) == 0 {
 		return []string{"*"}
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -19,7 +19,8 @@
 
 // Change is the difference of one item between two deployments.
 type Change struct {
-	Kind   ChangeKind      `json:"kind"`
+	Kind ChangeKind `json:"kind"`
+	// Item is the kind and name of the item, for example "service chat".
 	Item   string          `json:"item"`
 	Before json.RawMessage `json:"before,omitempty"`
 	After  json.RawMessage `json:"after,omitempty"`
@@ -47,7 +48,8 @@
 	return changes
 }
 
-// items returns all items of a deployment as JSON, keyed by kind and name.
+// items returns all items of a deployment as JSON, keyed by kind and name. Routes have
+// no name: a route has one entry for each method, keyed by service, path and method.
 func (d *Deployment) items() map[string]json.RawMessage {
 	items := map[string]json.RawMessage{}
 	for _, item := range d.Zones {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -109,6 +109,8 @@
 	d.Routes = appendLocated(d.Routes, part.Routes, &m.routePlaces, source, "routes")
 }
 
+// appendLocated appends the items of one file's section to all, and their positions to
+// places.
 func appendLocated[T any](all, part []T, places *[]placeFunc, source *strictyaml.Source, section string) []T {
 	for i := range part {
 		path := fmt.Sprintf("%s[%d]", section, i)
@@ -122,6 +124,7 @@
 	return append(all, part...)
 }
 
+// withPlaces combines each item with its position.
 func withPlaces[T any](items []T, places []placeFunc) []located[T] {
 	pairs := make([]located[T], len(items))
 	for i := range items {
--- a/internal/config/lookup.go
+++ b/internal/config/lookup.go
@@ -15,7 +15,8 @@
 }
 
 // Index holds the lookup tables of a deployment for the request path. It is
-// immutable and safe for concurrent use. Each generation has its own Index.
+// immutable and safe for concurrent use. Each generation of the deployment has its
+// own Index.
 type Index struct {
 	Deployment *Deployment
 	byKey      map[KeyDigest]*Workspace
@@ -30,7 +31,7 @@
 	market Market
 }
 
-// NewIndex builds the index of a checked deployment.
+// NewIndex builds the index of a validated deployment.
 func NewIndex(d *Deployment) *Index {
 	index := &Index{
 		Deployment: d,
@@ -77,9 +78,9 @@
 	return slices.Contains(w.Services, service)
 }
 
-// Route returns the matching route with the longest path prefix. A call without a
-// matching route gets the class awaited. It is idempotent if the service is a model
-// or if RFC 9110 defines its method as idempotent.
+// Route returns the matching route with the longest path prefix. If none matches, it
+// returns a route with ClassAwaited and default settings, which is idempotent if the
+// service is a model or if RFC 9110 defines the method as idempotent.
 func (x *Index) Route(service *Service, method, path string) Route {
 	var best *Route
 	for _, route := range x.routes[service.Name] {
@@ -98,6 +99,8 @@
 	return fallback
 }
 
+// matches reports whether the route applies to a method and path. Its path matches
+// whole segments only: /a matches /a and /a/b, but not /ab.
 func (r *Route) matches(method, path string) bool {
 	if len(r.Methods) > 0 && !slices.Contains(r.Methods, method) {
 		return false
--- a/internal/peer/held.go
+++ b/internal/peer/held.go
@@ -14,7 +14,8 @@
 // takes a few milliseconds.
 const TriggeredHeartbeatDelay = 250 * time.Millisecond
 
-// TriggerHeartbeats sends heartbeats at once.
+// TriggerHeartbeats makes runTriggeredHeartbeats send a heartbeat to each contact at once. It does
+// not block; calls made before the heartbeats are sent have the effect of one.
 func (m *Mesh) TriggerHeartbeats() {
 	select {
 	case m.trigger <- struct{}{}:
@@ -39,7 +40,8 @@
 	}
 }
 
-// encodeQuarantine encodes the known requests during which servers have ended.
+// encodeQuarantine encodes the quarantine's reports about requests during which servers exited. The
+// messages call this field held.
 func (m *Mesh) encodeQuarantine() []byte {
 	if m.quarantine == nil {
 		return nil
@@ -50,19 +52,20 @@
 	}
 	raw, err := json.Marshal(records)
 	if err != nil {
-		m.logger.Error("cannot encode held requests", "error", err)
+		m.logger.Error("cannot encode quarantine reports", "error", err)
 	}
 	return raw
 }
 
-// mergeQuarantine merges a peer's requests during which servers have ended.
+// mergeQuarantine merges the quarantine reports from a peer's heartbeat. The time that the heartbeat
+// was in transit is neglected.
 func (m *Mesh) mergeQuarantine(peer string, raw []byte) {
 	if m.quarantine == nil || len(raw) == 0 {
 		return
 	}
 	var records []quarantine.Report
 	if err := json.Unmarshal(raw, &records); err != nil {
-		m.logger.Warn("cannot decode held requests from peer", "peer", peer, "error", err)
+		m.logger.Warn("cannot decode quarantine reports from peer", "peer", peer, "error", err)
 		return
 	}
 	m.quarantine.Merge(records, 0, time.Now())
