--- a/internal/allowance/simulation_test.go
+++ b/internal/allowance/simulation_test.go
@@ -103,7 +103,7 @@
 	// sequence numbers its reports, and sent holds the last of them.
 	sequence uint64
 	sent     map[uint64]Counters
-	lead     leadState
+	leader   leaderState
 	// appliesAt is when it applies the lowered allowance.
 	appliesAt time.Duration
 	// suspended is set while the daemon is suspended. clockLag is how far its clock is behind.
@@ -113,9 +113,9 @@
 	stoppedAt time.Duration
 }
 
-// leadState is the last digest that a daemon received from its lead, or names the daemon itself if
+// leaderState is the last digest that a daemon received from its lead, or names the daemon itself if
 // it uses its own sums.
-type leadState struct {
+type leaderState struct {
 	vm               string
 	incarnation      uint64
 	at               time.Duration
@@ -177,7 +177,7 @@
 // startDaemon starts a new process of a daemon.
 func (s *simulator) startDaemon(d *daemon, readable bool) {
 	d.incarnation++
-	d.alive, d.started, d.lead = true, s.now, leadState{}
+	d.alive, d.started, d.leader = true, s.now, leaderState{}
 	d.sums, d.memberReportedAt = rollup.New(), map[int]time.Duration{}
 	d.sequence, d.sent = 0, map[uint64]Counters{}
 	d.limiter = NewLimiter(s.tolerance, s.time(), s.random.Float64)
@@ -227,7 +227,7 @@
 		}
 	}
 	if s.now%time.Second == 0 {
-		s.checkLeads()
+		s.checkLeaders()
 	}
 	if s.now%(500*time.Millisecond) == 0 {
 		s.writeSnapshot()
@@ -385,8 +385,8 @@
 	if s.ignorePartition {
 		reachable, age = s.daemons, s.reportInterval
 	}
-	changed := d.lead.vm != d.vm && d.lead.vm != ""
-	d.lead = leadState{vm: d.vm}
+	changed := d.leader.vm != d.vm && d.leader.vm != ""
+	d.leader = leaderState{vm: d.vm}
 	spent, refused := d.sums.SpentByOthers()
 	s.applyReport(d, Counters{Spent: spent, Refused: refused}, Report{VM: d.vm, Incarnation: d.incarnation, Baseline: changed}, reachable, age)
 	return reachable, age
@@ -400,11 +400,11 @@
 	if warmup && includedSequence == 0 {
 		return
 	}
-	previous := d.lead
+	previous := d.leader
 	if warmup && s.now-previous.at < freshFor {
 		reachable = max(reachable, previous.reachable)
 	}
-	d.lead = leadState{vm: lead.vm, incarnation: lead.incarnation, at: s.now, includedSequence: includedSequence, reachable: reachable}
+	d.leader = leaderState{vm: lead.vm, incarnation: lead.incarnation, at: s.now, includedSequence: includedSequence, reachable: reachable}
 	own, known := d.sent[includedSequence]
 	if !known && includedSequence != 0 {
 		return
@@ -422,10 +422,10 @@
 	d.limiter.ApplyReport(report, s.clock(d))
 }
 
-// checkLeads makes daemons that receive no digest use their own sums.
-func (s *simulator) checkLeads() {
+// checkLeaders makes daemons that receive no digest use their own sums.
+func (s *simulator) checkLeaders() {
 	for _, d := range s.fleet {
-		if d.running() && s.now-d.started >= simulationTick && d.lead.vm != d.vm && s.now-d.lead.at >= freshFor {
+		if d.running() && s.now-d.started >= simulationTick && d.leader.vm != d.vm && s.now-d.leader.at >= freshFor {
 			s.useOwnSums(d)
 		}
 	}
--- a/internal/backend/pace.go
+++ b/internal/backend/pace.go
@@ -14,16 +14,16 @@
 	}
 	if v.engines[service] == nil {
 		engines := pace.NewEngine(traits.FetchRate)
-		engines.MergeEstimates(v.unappliedFigures[service])
-		delete(v.unappliedFigures, service)
+		engines.MergeEstimates(v.unappliedEstimates[service])
+		delete(v.unappliedEstimates, service)
 		v.engines[service] = engines
 	}
 	return v.engines[service]
 }
 
-// EngineFigures returns the parameters that this daemon has learned of the engines' speed, by
+// EngineEstimates returns the parameters that this daemon has learned of the engines' speed, by
 // service.
-func (v *View) EngineFigures() map[string]pace.EngineEstimates {
+func (v *View) EngineEstimates() map[string]pace.EngineEstimates {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	figures := make(map[string]pace.EngineEstimates, len(v.engines))
@@ -33,15 +33,15 @@
 	return figures
 }
 
-// MergeEngineFigures merges the parameters that other daemons have learned. Those of a service that
+// MergeEngineEstimates merges the parameters that other daemons have learned. Those of a service that
 // is not configured yet are kept until it is.
-func (v *View) MergeEngineFigures(figures map[string]pace.EngineEstimates) {
+func (v *View) MergeEngineEstimates(figures map[string]pace.EngineEstimates) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for service, learned := range figures {
 		engines := v.engineFor(service)
 		if engines == nil {
-			v.unappliedFigures[service] = learned
+			v.unappliedEstimates[service] = learned
 			continue
 		}
 		engines.MergeEstimates(learned)
--- a/internal/backend/view.go
+++ b/internal/backend/view.go
@@ -33,9 +33,9 @@
 	connectTimes map[string]connectTime
 	// engines are the models of the engines' speed, by service.
 	engines map[string]*pace.Engine
-	// unappliedFigures are the parameters that other daemons reported for services that are not
+	// unappliedEstimates are the parameters that other daemons reported for services that are not
 	// configured yet.
-	unappliedFigures map[string]pace.EngineEstimates
+	unappliedEstimates map[string]pace.EngineEstimates
 	// outageEnd is when the store last recovered from an outage.
 	outageEnd time.Time
 	// drainBound is how long a draining server may be sent requests after the store has
@@ -61,7 +61,7 @@
 
 // NewView returns an empty view.
 func NewView() *View {
-	return &View{servers: map[string]*server{}, traits: map[string]Traits{}, connectTimes: map[string]connectTime{}, engines: map[string]*pace.Engine{}, unappliedFigures: map[string]pace.EngineEstimates{}, readyServers: map[track][]*server{}, versions: map[string]Versions{}, changed: make(chan struct{}), drainBound: defaultDrainBound}
+	return &View{servers: map[string]*server{}, traits: map[string]Traits{}, connectTimes: map[string]connectTime{}, engines: map[string]*pace.Engine{}, unappliedEstimates: map[string]pace.EngineEstimates{}, readyServers: map[track][]*server{}, versions: map[string]Versions{}, changed: make(chan struct{}), drainBound: defaultDrainBound}
 }
 
 // SetTraits sets the configured properties of all services.
--- a/internal/backend/view_test.go
+++ b/internal/backend/view_test.go
@@ -265,7 +265,7 @@
 	c := qt.New(t)
 	received := pace.EngineEstimates{First: pace.Estimate{Coefficients: []float64{0.5, 1e-5, 1e-4, 0.01, 1e-6}, Samples: 500}}
 	v := NewView()
-	v.MergeEngineFigures(map[string]pace.EngineEstimates{"s": received})
+	v.MergeEngineEstimates(map[string]pace.EngineEstimates{"s": received})
 	v.Put(entry("a", "z"), start)
 	v.SetTraits(map[string]Traits{"s": {CacheTokens: 100_000}})
 	choice, ok := v.Begin(prompt(1), start)
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -85,9 +85,9 @@
 	QuotaWindow      Duration `yaml:"quota_window"`
 	QuotaOverShare   float64  `yaml:"quota_over"`
 	QuotaSlackTokens float64  `yaml:"quota_slack"`
-	// LeavingLimit is how long requests may still be sent to a leaving backend server, from
-	// when the store has recorded that it leaves. If unset, DefaultLeavingLimit applies.
-	LeavingLimit Duration `yaml:"leaving"`
+	// DrainBound is how long requests may still be sent to a leaving backend server, from
+	// when the store has recorded that it leaves. If unset, DefaultDrainBound applies.
+	DrainBound Duration `yaml:"leaving"`
 	// RollOutShare and RollOutSlack bound the requests sent to a bad version during its
 	// roll-out: a share of all requests plus a fixed number. RollOutStop is the time after the
 	// 50th bad answer of a version by which it gets its last request. If they are unset, the
@@ -97,16 +97,16 @@
 	RollOutStop  Duration `yaml:"rollout_stop"`
 }
 
-// DefaultLeavingLimit applies if the settings have no LeavingLimit. It is the shortest
+// DefaultDrainBound applies if the settings have no DrainBound. It is the shortest
 // time for which draining a server is useful.
-const DefaultLeavingLimit = 2 * time.Second
+const DefaultDrainBound = 2 * time.Second
 
-// EffectiveLeavingLimit returns LeavingLimit, or DefaultLeavingLimit if it is unset.
-func (b RouterBounds) EffectiveLeavingLimit() time.Duration {
-	if b.LeavingLimit <= 0 {
-		return DefaultLeavingLimit
+// EffectiveDrainBound returns DrainBound, or DefaultDrainBound if it is unset.
+func (b RouterBounds) EffectiveDrainBound() time.Duration {
+	if b.DrainBound <= 0 {
+		return DefaultDrainBound
 	}
-	return b.LeavingLimit.Std()
+	return b.DrainBound.Std()
 }
 
 // LoadRouterSettings reads a router's settings from a file.
@@ -139,7 +139,7 @@
 			findings.Addf(source.Place(path), "%s: must be greater than zero", path)
 		}
 	}
-	if settings.Bounds.LeavingLimit < 0 {
+	if settings.Bounds.DrainBound < 0 {
 		findings.Addf(source.Place("bounds.leaving"), "bounds.leaving: must not be negative")
 	}
 	settings.checkAddresses(source, &findings)
--- a/internal/dispatch/flight.go
+++ b/internal/dispatch/flight.go
@@ -48,9 +48,9 @@
 // readers attach and detach.
 type Flight struct {
 	spec request.Spec
-	// content is the identity by which the quarantine recognizes identical requests.
-	content quarantine.Digest
-	done    chan struct{}
+	// digest is the identity by which the quarantine recognizes identical requests.
+	digest quarantine.Digest
+	done   chan struct{}
 	// firstToken is the time from acceptance to the first token. Only the goroutine of the
 	// running attempt uses it.
 	firstToken time.Duration
@@ -81,7 +81,7 @@
 func newFlight(spec request.Spec) *Flight {
 	return &Flight{
 		spec:      spec,
-		content:   ContentOf(&spec),
+		digest:    DigestOf(&spec),
 		lifecycle: request.NewLifecycle(spec.Idempotent()),
 		changed:   make(chan struct{}),
 		done:      make(chan struct{}),
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -21,8 +21,8 @@
 // operators time to look into it.
 const quarantineRetryAfter = 30 * time.Second
 
-// ContentOf returns the identity by which the quarantine recognizes identical requests.
-func ContentOf(spec *request.Spec) quarantine.Digest {
+// DigestOf returns the identity by which the quarantine recognizes identical requests.
+func DigestOf(spec *request.Spec) quarantine.Digest {
 	if spec.Plain != nil {
 		return quarantine.DigestOf(spec.Workspace, spec.Plain.Method, spec.Service, spec.Plain.Path, spec.Plain.Body)
 	}
@@ -36,7 +36,7 @@
 
 // refuseQuarantined refuses a request that the quarantine blocks.
 func (d *Dispatcher) refuseQuarantined(spec *request.Spec, now time.Time) *Refusal {
-	if !d.options.Quarantine.Blocked(ContentOf(spec), now) {
+	if !d.options.Quarantine.Blocked(DigestOf(spec), now) {
 		return nil
 	}
 	return &Refusal{Status: http.StatusServiceUnavailable, Detail: errEndsServers.Error(), RetryAfter: quarantineRetryAfter}
@@ -46,9 +46,9 @@
 // after a broken attempt is held to a stricter rule than a first attempt.
 func (d *Dispatcher) checkQuarantine(flight *Flight, now time.Time) error {
 	switch {
-	case d.options.Quarantine.Blocked(flight.content, now):
+	case d.options.Quarantine.Blocked(flight.digest, now):
 		return errEndsServers
-	case flight.attempts() > 0 && d.options.Quarantine.Suspected(flight.content):
+	case flight.attempts() > 0 && d.options.Quarantine.Suspected(flight.digest):
 		return errServersEnded
 	}
 	return nil
@@ -60,7 +60,7 @@
 	d.options.Quarantine.RecordBrokenAttempt(watch.Server{
 		Key: serverEndKey(server.ID, at), ID: server.ID, Service: flight.spec.Service,
 		Exited: func(ctx context.Context) bool { return d.serverEnded(ctx, server.Address) },
-	}, quarantine.LostRequest{Digest: flight.content, SentAt: sent}, false, at)
+	}, quarantine.LostRequest{Digest: flight.digest, SentAt: sent}, false, at)
 }
 
 // serverEndKey identifies one end of a server's process. A restarted process keeps the ID of
--- a/internal/duty/elector.go
+++ b/internal/duty/elector.go
@@ -92,21 +92,21 @@
 	Logger   *slog.Logger
 	// NotifyPeers reports a change of the holder to the peers at once.
 	NotifyPeers func()
-	// BuildMemory returns the memory to write with a renewal, which replaces the recorded one.
-	BuildMemory func(recorded lease.Snapshot) lease.Snapshot
+	// BuildSnapshot returns the memory to write with a renewal, which replaces the recorded one.
+	BuildSnapshot func(recorded lease.Snapshot) lease.Snapshot
 	// Now is the clock of the lease. The default is a clock that advances while the VM is
 	// suspended.
 	Now func() time.Time
-	// OnMemory receives the memory of each record that is read.
-	OnMemory func(lease.Snapshot)
+	// OnSnapshot receives the memory of each record that is read.
+	OnSnapshot func(lease.Snapshot)
 }
 
 // Elector acquires and renews the lease for one daemon.
 type Elector struct {
 	options Options
 
-	mu     sync.Mutex
-	keeper *lease.Tracker
+	mu      sync.Mutex
+	tracker *lease.Tracker
 	// writeSlot is full while a write of the record is in progress. It is a channel and not a
 	// mutex, so that waiting can be cancelled.
 	writeSlot chan struct{}
@@ -133,14 +133,14 @@
 	}
 	keeper := lease.NewTracker(options.Self, options.Incarnation, options.Duration)
 	keeper.SetAddress(options.Address)
-	return &Elector{options: options, keeper: keeper, writeSlot: make(chan struct{}, 1)}
+	return &Elector{options: options, tracker: keeper, writeSlot: make(chan struct{}, 1)}
 }
 
 // Token returns the fencing token, and whether this daemon may act with it now.
 func (e *Elector) Token() (FencingToken, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	fence, ok := e.keeper.Holds(e.options.Now())
+	fence, ok := e.tracker.Holds(e.options.Now())
 	return FencingToken{Holder: e.options.Self, Fence: fence}, ok && !e.releasing
 }
 
@@ -222,7 +222,7 @@
 		return
 	}
 	e.mu.Lock()
-	claim, ok := e.keeper.Claim(e.options.Now())
+	claim, ok := e.tracker.Claim(e.options.Now())
 	e.mu.Unlock()
 	if !ok {
 		return
@@ -234,11 +234,11 @@
 	e.write(ctx, claim)
 }
 
-// LoadMemory returns the memory written by the last holder. It is empty where nobody has ever
+// LoadSnapshot returns the memory written by the last holder. It is empty where nobody has ever
 // held the lease.
-func (e *Elector) LoadMemory(ctx context.Context) (lease.Snapshot, error) {
+func (e *Elector) LoadSnapshot(ctx context.Context) (lease.Snapshot, error) {
 	record, err := e.fetchRecord(ctx)
-	e.locked(func() { e.succeedsOwnLease = err == nil && e.keeper.ReplacesHolder(record) })
+	e.locked(func() { e.succeedsOwnLease = err == nil && e.tracker.ReplacesHolder(record) })
 	return record.Snapshot, err
 }
 
@@ -267,9 +267,9 @@
 			record = lease.Record{Holder: unreadableHolder}
 		}
 	}
-	e.locked(func() { e.keeper.Observe(object.Revision, record, e.options.Now()) })
-	if e.options.OnMemory != nil {
-		e.options.OnMemory(record.Snapshot)
+	e.locked(func() { e.tracker.Observe(object.Revision, record, e.options.Now()) })
+	if e.options.OnSnapshot != nil {
+		e.options.OnSnapshot(record.Snapshot)
 	}
 	return record, nil
 }
@@ -298,10 +298,10 @@
 	}
 	defer e.endWrite()
 	e.mu.Lock()
-	next := e.keeper.Renewal()
+	next := e.tracker.Renewal()
 	e.mu.Unlock()
-	if e.options.BuildMemory != nil {
-		next.Snapshot = e.options.BuildMemory(next.Snapshot)
+	if e.options.BuildSnapshot != nil {
+		next.Snapshot = e.options.BuildSnapshot(next.Snapshot)
 	}
 	if edit != nil {
 		edit(&next)
@@ -319,8 +319,8 @@
 // the record again to learn the actual state.
 func (e *Elector) write(ctx context.Context, record lease.Record) bool {
 	e.mu.Lock()
-	revision := e.keeper.Revision()
-	e.keeper.BeginWrite(record, e.options.Now())
+	revision := e.tracker.Revision()
+	e.tracker.BeginWrite(record, e.options.Now())
 	e.mu.Unlock()
 	var object store.Object
 	var err error
@@ -339,7 +339,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.keeper.WriteSucceeded(object.Revision, e.options.Now())
+	e.tracker.WriteSucceeded(object.Revision, e.options.Now())
 	return true
 }
 
@@ -347,8 +347,8 @@
 func (e *Elector) FenceRejected(token FencingToken) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if fence, _ := e.keeper.Holds(e.options.Now()); fence == token.Fence {
-		e.keeper.Superseded()
+	if fence, _ := e.tracker.Holds(e.options.Now()); fence == token.Fence {
+		e.tracker.Superseded()
 	}
 }
 
@@ -367,7 +367,7 @@
 	}
 	defer e.endWrite()
 	e.mu.Lock()
-	next := e.keeper.Release()
+	next := e.tracker.Release()
 	e.mu.Unlock()
 	if e.write(ctx, next) {
 		e.options.Logger.Info("lease released")
@@ -400,6 +400,6 @@
 func (e *Elector) recordedReport(window int64) (usage.Counts, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	counts, ok := e.keeper.UsageReports()[window]
+	counts, ok := e.tracker.UsageReports()[window]
 	return counts, ok
 }
--- a/internal/experiment/faults.go
+++ b/internal/experiment/faults.go
@@ -13,7 +13,7 @@
 	}
 	for i, old := range w.daemons {
 		fresh := newDaemon(w, old.id, old.zone)
-		fresh.view.MergeEngineFigures(old.view.EngineFigures())
+		fresh.view.MergeEngineEstimates(old.view.EngineEstimates())
 		*w.daemons[i] = *fresh
 	}
 }
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -112,13 +112,13 @@
 
 // overloadOrSize distinguishes a refusal because of the queue from one because of the
 // request's own size, by which of them makes up most of the predicted time. Lines of
-// earlier versions lack IdleMS and count as overload.
+// earlier versions lack IdleWaitMS and count as overload.
 func overloadOrSize(attempts []Attempt) Cause {
 	if len(attempts) == 0 {
 		return CauseOverload
 	}
 	last := attempts[len(attempts)-1]
-	if last.IdleMS > 0 && 2*last.IdleMS > last.PredictedMS {
+	if last.IdleWaitMS > 0 && 2*last.IdleWaitMS > last.PredictedMS {
 		return CauseRequestSize
 	}
 	return CauseOverload
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -47,10 +47,10 @@
 	TookMS  int64 `json:"took_ms"`
 	// PredictedMS is the predicted time to the first event.
 	PredictedMS int64 `json:"wait_ms"`
-	// IdleMS is the part of PredictedMS that the request would take on an idle server.
+	// IdleWaitMS is the part of PredictedMS that the request would take on an idle server.
 	// Learned reports whether it is based on measurements of the engines.
-	IdleMS  int64 `json:"own_ms"`
-	Learned bool  `json:"learned"`
+	IdleWaitMS int64 `json:"own_ms"`
+	Calibrated bool  `json:"learned"`
 }
 
 // Line is one decoded log line.
@@ -226,7 +226,7 @@
 		_, _ = fmt.Fprintf(&out, "%9.3fs  %-24s %s\n", l.Time.Sub(end).Seconds(), l.VM, describe(l))
 		for _, a := range l.Attempts {
 			_, _ = fmt.Fprintf(&out, "%36s at %d ms to %s in %s, first event predicted after %d ms (%d ms on an idle server): %s after %d ms\n",
-				"", a.StartMS, a.Server, a.Zone, a.PredictedMS, a.IdleMS, a.Result, a.TookMS)
+				"", a.StartMS, a.Server, a.Zone, a.PredictedMS, a.IdleWaitMS, a.Result, a.TookMS)
 		}
 	}
 	_, err := io.WriteString(w, out.String())
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -110,7 +110,7 @@
 		CauseEndsServers:    {Outcome: "refused", Status: 503, Reason: "request ends the servers that run it"},
 		CauseOverload:       {Outcome: "refused", Status: 503, Reason: "predicted wait is too long"},
 		CauseRequestSize: {
-			Outcome: "refused", Status: 503, Reason: "predicted wait is too long", Attempts: []Attempt{{Result: "not-tried", PredictedMS: 900, IdleMS: 700}},
+			Outcome: "refused", Status: 503, Reason: "predicted wait is too long", Attempts: []Attempt{{Result: "not-tried", PredictedMS: 900, IdleWaitMS: 700}},
 		},
 		CauseTimeout:        {Outcome: "failed", Status: 504, Reason: "timeout"},
 		CauseDeclined:       {Outcome: "refused", Status: 503, Reason: "route allows no further attempt", Attempts: []Attempt{{Result: "declined"}}},
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -87,8 +87,8 @@
 	return float64(c.Prompt.Tokens + c.Prompt.MaxOutput)
 }
 
-// content returns the identity by which the quarantine recognizes identical requests.
-func (c *Call) content() quarantine.Digest {
+// digest returns the identity by which the quarantine recognizes identical requests.
+func (c *Call) digest() quarantine.Digest {
 	return quarantine.DigestOf(c.Workspace, c.Method, c.Host, c.Target, c.Body)
 }
 
@@ -181,8 +181,8 @@
 type Limiter interface {
 	// Admit takes tokens from the allowance, or returns when to try again.
 	Admit(workspace string, tokens float64) allowance.Verdict
-	// Repeat takes tokens for another run of a request that may already have run.
-	Repeat(workspace string, tokens float64) allowance.Verdict
+	// AdmitRetry takes tokens for another run of a request that may already have run.
+	AdmitRetry(workspace string, tokens float64) allowance.Verdict
 	// Refund returns the tokens of a request that has not run. admitted is the time of its
 	// admission by the limiter's clock.
 	Refund(workspace string, tokens float64, admitted time.Time)
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -119,8 +119,8 @@
 	cost float64
 	// callerAge is the time from the caller's first try to this request.
 	callerAge time.Duration
-	// content is the identity by which the quarantine recognizes identical requests.
-	content          quarantine.Digest
+	// digest is the identity by which the quarantine recognizes identical requests.
+	digest           quarantine.Digest
 	firstAnswerAfter time.Duration
 	status           int
 	history          []attemptRecord
@@ -136,7 +136,7 @@
 func (f *Forwarder) Forward(ctx context.Context, call *Call, reply Reply) error {
 	r := &run{
 		Forwarder: f, call: call, reply: reply, tried: map[string]bool{}, lastEventID: call.LastEventID,
-		lifecycle: request.NewLifecycle(call.Route.Retryable()), content: call.content(),
+		lifecycle: request.NewLifecycle(call.Route.Retryable()), digest: call.digest(),
 	}
 	if f.options.CallerTimeouts != nil {
 		r.callerAge = f.options.CallerTimeouts.Age(call.Route.Name, call.CallerTimeout)
@@ -194,7 +194,7 @@
 	if r.verdict == nil || r.charged {
 		return nil
 	}
-	verdict := r.options.Limiter.Repeat(r.call.Workspace, r.cost)
+	verdict := r.options.Limiter.AdmitRetry(r.call.Workspace, r.cost)
 	r.verdict = &verdict
 	if !verdict.Admitted {
 		return &Refusal{Reason: reasonAboveAllowance}
@@ -209,9 +209,9 @@
 	switch {
 	case r.options.Quarantine == nil:
 		return nil
-	case r.options.Quarantine.Blocked(r.content, now):
+	case r.options.Quarantine.Blocked(r.digest, now):
 		refusal.Reason = "request ends the servers that run it"
-	case r.sentAttempts > 0 && r.options.Quarantine.Suspected(r.content):
+	case r.sentAttempts > 0 && r.options.Quarantine.Suspected(r.digest):
 		refusal.Reason = "servers ended under requests like this one"
 	default:
 		return nil
@@ -222,7 +222,7 @@
 // reportCompleted reports to the quarantine that a server has run the call to completion.
 func (r *run) reportCompleted(now time.Time) {
 	if r.options.Quarantine != nil {
-		r.options.Quarantine.RecordAnswer(r.content, now)
+		r.options.Quarantine.RecordAnswer(r.digest, now)
 	}
 }
 
@@ -234,7 +234,7 @@
 	r.options.Quarantine.RecordBrokenAttempt(watch.Server{
 		Key: quarantine.ServerInstance(backend.KeyOf(server)), ID: server.ID, Service: server.Service, StartedMs: server.StartTimeMs,
 		Exited: func(ctx context.Context) bool { return r.options.Backend.Ended(ctx, server) },
-	}, quarantine.LostRequest{Digest: r.content, SentAt: sent}, result.serverRestarted, at)
+	}, quarantine.LostRequest{Digest: r.digest, SentAt: sent}, result.serverRestarted, at)
 }
 
 func (r *run) workspace() *catalog.Workspace {
--- a/internal/forward/record.go
+++ b/internal/forward/record.go
@@ -17,22 +17,22 @@
 	// AtMS is the start of the attempt in milliseconds since the call arrived.
 	AtMS   int64 `json:"at_ms"`
 	TookMS int64 `json:"took_ms"`
-	// WaitMS is the predicted time to the first event. OwnMS is the part of it that the
+	// WaitMS is the predicted time to the first event. IdleWaitMS is the part of it that the
 	// request would take on an idle server. Learned is set if the prediction is based on
 	// measurements of the engines. Unread is the number of prompt tokens that the server was
 	// expected to process, and Running the number of requests that it was running.
-	WaitMS  int64 `json:"wait_ms"`
-	OwnMS   int64 `json:"own_ms"`
-	Learned bool  `json:"learned"`
-	Unread  int   `json:"unread"`
-	Running int   `json:"running"`
+	WaitMS        int64 `json:"wait_ms"`
+	IdleWaitMS    int64 `json:"own_ms"`
+	Calibrated    bool  `json:"learned"`
+	PrefillTokens int   `json:"unread"`
+	Running       int   `json:"running"`
 }
 
 func (r *run) recordAttempt(choice *backend.Choice, result string, began, ended time.Time) {
 	r.history = append(r.history, attemptRecord{
 		Server: choice.ID, Zone: choice.Zone, Result: result,
 		AtMS: began.Sub(r.call.Arrived).Milliseconds(), TookMS: ended.Sub(began).Milliseconds(),
-		WaitMS: choice.Wait.Milliseconds(), OwnMS: choice.IdleWait.Milliseconds(), Learned: choice.Calibrated, Unread: choice.PrefillTokens, Running: choice.Running,
+		WaitMS: choice.Wait.Milliseconds(), IdleWaitMS: choice.IdleWait.Milliseconds(), Calibrated: choice.Calibrated, PrefillTokens: choice.PrefillTokens, Running: choice.Running,
 	})
 }
 
@@ -58,7 +58,7 @@
 	serversAge, storeFailing := r.options.Freshness()
 	attrs := []any{
 		"request_id", r.call.ID, "route", r.call.Route.Name, "service", r.call.Service, "workspace", r.call.Workspace,
-		"content", r.content.String(), "outcome", outcome, "status", status, "took_ms", took.Milliseconds(), "first_ms", r.firstAnswerAfter.Milliseconds(), "age_ms", r.callerAge.Milliseconds(),
+		"content", r.digest.String(), "outcome", outcome, "status", status, "took_ms", took.Milliseconds(), "first_ms", r.firstAnswerAfter.Milliseconds(), "age_ms", r.callerAge.Milliseconds(),
 		"attempts", r.history, "allowance_tokens", r.cost, "config_version", r.call.Catalog.Version,
 		"config_age_ms", time.Since(r.call.Catalog.AppliedAt).Milliseconds(), "servers_age_ms", serversAge.Milliseconds(), "store_failing", storeFailing,
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -49,8 +49,8 @@
 	DemandRates map[string]float64 `json:"asked"`
 	// Warmup is set if the holder had just started to count RecentUses.
 	Warmup bool `json:"warmup,omitempty"`
-	// EngineFigures holds the learned performance figures of the engines, by service.
-	EngineFigures map[string]pace.EngineEstimates `json:"paces,omitempty"`
+	// EngineEstimates holds the learned performance figures of the engines, by service.
+	EngineEstimates map[string]pace.EngineEstimates `json:"paces,omitempty"`
 	// FirstTryLimits holds the time limits of first tries, by route.
 	FirstTryLimits map[string]time.Duration `json:"limits,omitempty"`
 	// RequestWindows holds the requests that started in the latest windows, over all
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -223,7 +223,7 @@
 	settleDuration := 2*sim.gossipInterval + 100*time.Millisecond
 	if now.Sub(sim.snapshotAt) >= snapshotInterval {
 		sim.snapshotAt = now
-		sim.snapshot = sim.zoneLead(0).q.Snapshot(now)
+		sim.snapshot = sim.zoneLeader(0).q.Snapshot(now)
 		sim.exchangeViaStore(now)
 	}
 	slot := int(now.Sub(start)/simStep) % max(1, int(sim.gossipInterval/simStep))
@@ -235,13 +235,13 @@
 			continue
 		}
 		d.q.Evaluate(now, settleDuration)
-		lead := sim.zoneLead(d.zone)
+		lead := sim.zoneLeader(d.zone)
 		if lead != d {
 			lead.q.Merge(d.q.Reports(now), 0, now)
 			d.q.Merge(lead.q.Reports(now), 0, now)
 		}
 		for zone := range sim.zoneCount {
-			if other := sim.zoneLead(zone); lead == d && zone != d.zone && (zone == sim.cutZone) == (d.zone == sim.cutZone) {
+			if other := sim.zoneLeader(zone); lead == d && zone != d.zone && (zone == sim.cutZone) == (d.zone == sim.cutZone) {
 				other.q.Merge(d.q.Reports(now), 0, now)
 			}
 		}
@@ -252,16 +252,16 @@
 // off.
 func (sim *simulation) exchangeViaStore(now time.Time) {
 	for zone := range sim.zoneCount {
-		if from := sim.zoneLead(zone); sim.cutZone >= 0 && zone != sim.cutZone {
-			from.q.Merge(sim.zoneLead(sim.cutZone).q.Reports(now), 0, now)
-			sim.zoneLead(sim.cutZone).q.Merge(from.q.Reports(now), 0, now)
+		if from := sim.zoneLeader(zone); sim.cutZone >= 0 && zone != sim.cutZone {
+			from.q.Merge(sim.zoneLeader(sim.cutZone).q.Reports(now), 0, now)
+			sim.zoneLeader(sim.cutZone).q.Merge(from.q.Reports(now), 0, now)
 		}
 	}
 }
 
-// zoneLead returns the first running daemon of a zone, or any running daemon where the zone has
+// zoneLeader returns the first running daemon of a zone, or any running daemon where the zone has
 // none.
-func (sim *simulation) zoneLead(zone int) *simDaemon {
+func (sim *simulation) zoneLeader(zone int) *simDaemon {
 	for _, d := range sim.daemons {
 		if d.zone == zone && !d.suspended {
 			return d
--- a/internal/rollup/rollup.go
+++ b/internal/rollup/rollup.go
@@ -17,9 +17,9 @@
 // and the delay of a slow link.
 const FreshFor = 1500 * time.Millisecond
 
-// leadTimeout is how long after its last summary a zone's lead is kept before another lead of that
+// leaderTimeout is how long after its last summary a zone's lead is kept before another lead of that
 // zone is accepted: two reports of a large deployment and a margin.
-const leadTimeout = time.Second
+const leaderTimeout = time.Second
 
 // Counts is the usage of a daemon, a zone or the whole deployment.
 type Counts struct {
@@ -31,8 +31,8 @@
 	Loads map[uint32]backend.Load
 	// Demand is the demand for each service's engines.
 	Demand map[string]demand.Load
-	// Paces holds the measured figures of each service's engines.
-	Paces map[string]pace.EngineEstimates
+	// EngineEstimates holds the measured figures of each service's engines.
+	EngineEstimates map[string]pace.EngineEstimates
 	// Versions holds the results of service versions that are being rolled out.
 	Versions rollout.Tallies
 }
@@ -142,14 +142,14 @@
 }
 
 // AddSummary adds the summary of another zone. It accepts one lead per zone until that lead is
-// silent for leadTimeout or its daemon restarts. How much of a new lead's total was already counted
+// silent for leaderTimeout or its daemon restarts. How much of a new lead's total was already counted
 // is unknown, so the spending between the two leads is estimated from the rate.
 func (a *Aggregator) AddSummary(summary Summary, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	key := process{summary.VM, summary.Incarnation}
 	last := a.zones[summary.Zone]
-	if last != nil && last.vm != key.vm && now.Sub(last.receivedAt) < leadTimeout {
+	if last != nil && last.vm != key.vm && now.Sub(last.receivedAt) < leaderTimeout {
 		return
 	}
 	next := &zoneState{latestReport: latestReport{process: key, counts: summary.Counts, receivedAt: now}, reach: summary.Reach}
@@ -288,7 +288,7 @@
 // NewCounts returns empty Counts.
 func NewCounts() Counts {
 	return Counts{
-		Spent: map[string]float64{}, Refused: map[string]float64{}, Loads: map[uint32]backend.Load{}, Demand: map[string]demand.Load{}, Paces: map[string]pace.EngineEstimates{},
+		Spent: map[string]float64{}, Refused: map[string]float64{}, Loads: map[uint32]backend.Load{}, Demand: map[string]demand.Load{}, EngineEstimates: map[string]pace.EngineEstimates{},
 		Versions: rollout.NewTallies(),
 	}
 }
@@ -315,10 +315,10 @@
 	for service, load := range more.Demand {
 		c.Demand[service] = c.Demand[service].Add(load)
 	}
-	for service, figures := range more.Paces {
-		sum := c.Paces[service]
+	for service, figures := range more.EngineEstimates {
+		sum := c.EngineEstimates[service]
 		sum.Merge(figures)
-		c.Paces[service] = sum
+		c.EngineEstimates[service] = sum
 	}
 	c.Versions.Add(more.Versions)
 }
--- a/internal/router/encode.go
+++ b/internal/router/encode.go
@@ -42,7 +42,7 @@
 			Service: service, Reading: load.Prefill, Places: load.Batch, Memory: load.Memory,
 		})
 	}
-	for service, figures := range c.Paces {
+	for service, figures := range c.EngineEstimates {
 		counts.Paces = append(counts.Paces, &gossippb.Pace{
 			Service: service, First: encodeFigures(figures.First), Step: encodeFigures(figures.Step), Made: encodeFigures(figures.OutputRatio), Hinted: encodeFigures(figures.HintRatio),
 		})
@@ -80,7 +80,7 @@
 		counts.Demand[d.GetService()] = demand.Load{Prefill: d.GetReading(), Batch: d.GetPlaces(), Memory: d.GetMemory()}
 	}
 	for _, p := range c.GetPaces() {
-		counts.Paces[p.GetService()] = pace.EngineEstimates{
+		counts.EngineEstimates[p.GetService()] = pace.EngineEstimates{
 			First: decodeFigures(p.GetFirst()), Step: decodeFigures(p.GetStep()), OutputRatio: decodeFigures(p.GetMade()), HintRatio: decodeFigures(p.GetHinted()),
 		}
 	}
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -61,7 +61,7 @@
 	if !r.sentinel.Load() {
 		return followerWait
 	}
-	return min(sentinelWait, time.Duration(sentinelShare*float64(r.settings.Bounds.EffectiveLeavingLimit())))
+	return min(sentinelWait, time.Duration(sentinelShare*float64(r.settings.Bounds.EffectiveDrainBound())))
 }
 
 // relist makes every follower list its objects again.
--- a/internal/router/gossip.go
+++ b/internal/router/gossip.go
@@ -75,7 +75,7 @@
 func (s *state) OwnCounts(sequence uint64) *gossippb.Counts {
 	now := time.Now()
 	used := s.limiter.ownCounters()
-	own := rollup.Counts{Spent: used.Spent, Refused: used.Refused, Loads: s.view.OwnLoads(), Demand: s.demand.Rates(now), Paces: s.view.EngineFigures(), Versions: s.router.rollOuts.LocalTallies()}
+	own := rollup.Counts{Spent: used.Spent, Refused: used.Refused, Loads: s.view.OwnLoads(), Demand: s.demand.Rates(now), EngineEstimates: s.view.EngineEstimates(), Versions: s.router.rollOuts.LocalTallies()}
 	s.aggregator.SetOwn(own)
 	s.mu.Lock()
 	s.sentCounts[sequence] = own
@@ -233,7 +233,7 @@
 		reach: reach, demand: counts.Demand, ownDemand: own.Demand,
 	}
 	s.leader.versions = counts.Versions
-	s.view.MergeEngineFigures(counts.Paces)
+	s.view.MergeEngineEstimates(counts.EngineEstimates)
 	s.reportedDaemons, s.reportedDaemonsAt = s.leader.reach.Known, now
 	s.mu.Unlock()
 	s.logLeaderChange(before)
@@ -322,7 +322,7 @@
 	s.applyReach(now)
 	others := s.aggregator.Others(now)
 	s.view.SetPeerLoads(others.Loads, now)
-	s.view.MergeEngineFigures(others.Paces)
+	s.view.MergeEngineEstimates(others.EngineEstimates)
 	spent, refused := s.aggregator.SpentByOthers()
 	s.applyOthersUsage(s.router.settings.VM.ID, s.router.incarnation, allowance.Counters{Spent: spent, Refused: refused}, changed && before != "", now)
 }
--- a/internal/router/limiters.go
+++ b/internal/router/limiters.go
@@ -64,8 +64,8 @@
 	return a.limiter.Admit(workspace, tokens, a.now())
 }
 
-// Repeat implements forward.Limiter.
-func (a *limiters) Repeat(workspace string, tokens float64) allowance.Verdict {
+// AdmitRetry implements forward.Limiter.
+func (a *limiters) AdmitRetry(workspace string, tokens float64) allowance.Verdict {
 	return a.limiter.AdmitRetry(workspace, tokens, a.now())
 }
 
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -17,7 +17,7 @@
 	reach, _ := s.reach(now)
 	snapshot := lease.Snapshot{
 		Daemons: reach.Known, WrittenAtMs: current.WrittenAtMs, RecentUses: current.RecentUses, DemandRates: current.DemandRates, Warmup: current.Warmup,
-		EngineFigures: s.view.EngineFigures(), FirstTryLimits: s.firstTryLimits.Usual(), RequestWindows: s.ledger.All(reportedWindows),
+		EngineEstimates: s.view.EngineEstimates(), FirstTryLimits: s.firstTryLimits.Usual(), RequestWindows: s.ledger.All(reportedWindows),
 	}
 	if uses, known := s.limiter.usage(); known {
 		snapshot.WrittenAtMs, snapshot.RecentUses, snapshot.DemandRates, snapshot.Warmup = now.UnixMilli(), uses, s.limiter.demand(), s.limiter.warmup()
@@ -35,7 +35,7 @@
 // store's list, which may be incomplete.
 func (s *state) restoreSnapshot(snapshot lease.Snapshot, listed int, now time.Time) bool {
 	daemons := max(listed, snapshot.Daemons)
-	s.view.MergeEngineFigures(snapshot.EngineFigures)
+	s.view.MergeEngineEstimates(snapshot.EngineEstimates)
 	s.firstTryLimits.Restore(snapshot.FirstTryLimits)
 	// Counts never decrease, so larger counts from daemons that are still running take precedence.
 	s.ledger.MergeAll(snapshot.RequestWindows)
@@ -49,7 +49,7 @@
 		s.reportedDaemons, s.reportedDaemonsAt = daemons, now
 	}
 	s.mu.Unlock()
-	s.router.logger.Info("state from before the start restored", "daemons", daemons, "listed", listed, "workspaces", len(snapshot.RecentUses), "services", len(snapshot.EngineFigures))
+	s.router.logger.Info("state from before the start restored", "daemons", daemons, "listed", listed, "workspaces", len(snapshot.RecentUses), "services", len(snapshot.EngineEstimates))
 	return restored
 }
 
@@ -67,10 +67,10 @@
 	return true
 }
 
-// logEngineFigures logs the learned performance figures of the engines and the demand for them, on
+// logEngineEstimates logs the learned performance figures of the engines and the demand for them, on
 // which predictions and orders of servers are based.
-func (s *state) logEngineFigures() {
-	for service, figures := range s.view.EngineFigures() {
+func (s *state) logEngineEstimates() {
+	for service, figures := range s.view.EngineEstimates() {
 		load := s.Demand(service)
 		s.router.logger.Info("learned engine figures", "service", service,
 			"first_seconds", figures.First.Coefficients, "first_seen", figures.First.Samples,
--- a/internal/router/memory_test.go
+++ b/internal/router/memory_test.go
@@ -74,7 +74,7 @@
 		before.ledger.RequestStarted("w", now)
 	}
 	before.view.SetTraits(map[string]backend.Traits{"s": {CacheTokens: 1000}})
-	before.view.MergeEngineFigures(map[string]pace.EngineEstimates{"s": {First: pace.Estimate{Coefficients: []float64{0.5}, Samples: 100}}})
+	before.view.MergeEngineEstimates(map[string]pace.EngineEstimates{"s": {First: pace.Estimate{Coefficients: []float64{0.5}, Samples: 100}}})
 	raw, err := json.Marshal(lease.Record{Snapshot: before.buildSnapshot(lease.Snapshot{})})
 	c.Assert(err, qt.IsNil)
 	var record lease.Record
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -49,7 +49,7 @@
 // its zone. A watch that waits shows no error for seconds, and in the meantime the zone does not
 // learn which servers leave.
 func (r *Router) probeStore(ctx context.Context) {
-	p := newProber(r.settings.Bounds.EffectiveLeavingLimit())
+	p := newProber(r.settings.Bounds.EffectiveDrainBound())
 	ticker := time.NewTicker(p.interval)
 	defer ticker.Stop()
 	for {
--- a/internal/router/register.go
+++ b/internal/router/register.go
@@ -58,7 +58,7 @@
 	}
 	var restoreErr error
 	if !progress.snapshotLoaded {
-		snapshot, err := r.elector.LoadMemory(ctx)
+		snapshot, err := r.elector.LoadSnapshot(ctx)
 		if err == nil {
 			snapshot, err = r.latestUses(ctx, snapshot)
 		}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -215,7 +215,7 @@
 	}
 	r.elector = duty.NewElector(duty.Options{
 		Self: r.settings.VM.ID, Address: r.settings.Listen.Peers, Incarnation: r.incarnation, Duration: r.settings.Bounds.Lease.Std(),
-		Store: r.objectStore, Peers: dutyPeers{r}, Logger: r.logger, NotifyPeers: r.node.TriggerReport, BuildMemory: r.state.buildSnapshot, OnMemory: r.state.mergeHeld,
+		Store: r.objectStore, Peers: dutyPeers{r}, Logger: r.logger, NotifyPeers: r.node.TriggerReport, BuildSnapshot: r.state.buildSnapshot, OnSnapshot: r.state.mergeHeld,
 	})
 }
 
@@ -359,7 +359,7 @@
 			}
 			if now.Sub(loggedAt) >= engineLogInterval {
 				loggedAt = now
-				r.state.logEngineFigures()
+				r.state.logEngineEstimates()
 			}
 		case <-ctx.Done():
 			return
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -103,7 +103,7 @@
 func newState(r *Router) *state {
 	now := time.Now()
 	view := backend.NewView()
-	view.SetDrainBound(r.settings.Bounds.EffectiveLeavingLimit())
+	view.SetDrainBound(r.settings.Bounds.EffectiveDrainBound())
 	limiter := newLimiters(toleranceOf(r.settings.Bounds), r.logger, r.triggerReport)
 	view.SetLimiter(serverLimits{limiter})
 	return &state{
