--- a/internal/allowance/allowance.go
+++ b/internal/allowance/allowance.go
@@ -420,7 +420,7 @@
 		if r.Baseline {
 			// No report covers the time between two sources. Peers are assumed to have spent at
 			// their last rate or, if that is more, as much as this daemon each. Without this, while
-			// all leads were dead, a workspace whose demand had jumped used a quarter of its
+			// all leaders were dead, a workspace whose demand had jumped used a quarter of its
 			// allowance unreported.
 			if l.alone {
 				continue
--- a/internal/allowance/lowered_test.go
+++ b/internal/allowance/lowered_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// fewDaemonsDie draws the death of one in twenty daemons, including leads of zones.
+// fewDaemonsDie draws the death of one in twenty daemons, including leaders of zones.
 func fewDaemonsDie(r *rand.Rand) []fault {
 	at := randMs(r, 18_000, 26_000)
 	return []fault{{at: at, until: at + randMs(r, 300, 2000), deadShare: 0.05}}
@@ -128,7 +128,7 @@
 	}
 }
 
-// TestLoweredAllowanceAsAFewDie guards against what other daemons use unreported while the lead of
+// TestLoweredAllowanceAsAFewDie guards against what other daemons use unreported while the leader of
 // a zone changes.
 func TestLoweredAllowanceAsAFewDie(t *testing.T) { runLowered(t, fewDaemonsDie) }
 
--- a/internal/allowance/scenario_test.go
+++ b/internal/allowance/scenario_test.go
@@ -107,7 +107,7 @@
 }
 
 // TestDeathOfHalfRefusesLittle guards against refusing much after half of the daemons die. The
-// survivors use their share of the allowance, and less than that while a zone has no lead.
+// survivors use their share of the allowance, and less than that while a zone has no leader.
 func TestDeathOfHalfRefusesLittle(t *testing.T) {
 	half := func(r *rand.Rand) scenario {
 		at := randMs(r, 9000, 16_000)
--- a/internal/allowance/simulation_test.go
+++ b/internal/allowance/simulation_test.go
@@ -18,7 +18,7 @@
 
 const (
 	simulationTick = 10 * time.Millisecond
-	// reportBeforeDigest is how long before its lead's digest a daemon sends its report.
+	// reportBeforeDigest is how long before its leader's digest a daemon sends its report.
 	reportBeforeDigest = 50 * time.Millisecond
 	// freshFor is how long a silent daemon or zone counts as reachable.
 	freshFor = 1500 * time.Millisecond
@@ -32,7 +32,7 @@
 )
 
 // simulation simulates daemons in several zones that serve the requests of one workspace. In each
-// report interval, daemons report to the lead of their zone, and leads send the totals they know to
+// report interval, daemons report to the leader of their zone, and leaders send the totals they know to
 // their zone. What is known about another zone is therefore up to two intervals old.
 type simulation struct {
 	seed       uint64
@@ -113,7 +113,7 @@
 	stoppedAt time.Duration
 }
 
-// leaderState is the last digest that a daemon received from its lead, or names the daemon itself if
+// leaderState is the last digest that a daemon received from its leader, or names the daemon itself if
 // it uses its own sums.
 type leaderState struct {
 	vm               string
@@ -128,7 +128,7 @@
 	random         *rand.Rand
 	reportInterval time.Duration
 	fleet          []*daemon
-	// digestPhases are the offsets within a report interval at which the leads of the zones send
+	// digestPhases are the offsets within a report interval at which the leaders of the zones send
 	// digests.
 	digestPhases   []time.Duration
 	now            time.Duration
@@ -283,7 +283,7 @@
 // running reports whether a daemon is alive and not suspended.
 func (d *daemon) running() bool { return d.alive && !d.suspended }
 
-// relays returns the daemons that a zone's daemons use as relays, the lead first. A stopped relay
+// relays returns the daemons that a zone's daemons use as relays, the leader first. A stopped relay
 // is included until it has been silent for freshFor.
 func (s *simulator) relays(zone int) []*daemon {
 	var relays []*daemon
@@ -325,7 +325,7 @@
 	return counts
 }
 
-// sendDigest makes the lead of a zone send its zone's counts to the other zones, and the totals of
+// sendDigest makes the leader of a zone send its zone's counts to the other zones, and the totals of
 // all zones to its zone.
 func (s *simulator) sendDigest(zone int) {
 	relays := s.relays(zone)
@@ -392,7 +392,7 @@
 	return reachable, age
 }
 
-// applyDigest applies a lead's digest at a daemon.
+// applyDigest applies a leader's digest at a daemon.
 func (s *simulator) applyDigest(d, lead *daemon, reachable int, age time.Duration, all Counters) {
 	includedSequence := lead.sums.LastSequence(d.vm)
 	startedTogether := s.now-d.started < settleTimeout && s.now-lead.started < settleTimeout
@@ -441,7 +441,7 @@
 	return false
 }
 
-// writeSnapshot makes a lead record the usage.
+// writeSnapshot makes a leader record the usage.
 func (s *simulator) writeSnapshot() {
 	for _, f := range s.faults {
 		if f.storeDown && s.now >= f.at && s.now < f.until {
--- a/internal/allowance/stall.go
+++ b/internal/allowance/stall.go
@@ -7,12 +7,12 @@
 	// date. Without reports, peers are extrapolated for the same time.
 	StallThreshold = maxExtrapolation
 	// catchUpIntervals is the number of report intervals after which a stalled process has received
-	// what it missed: one each for its own report, for that of another zone's lead, and for that of
-	// its own zone's lead. catchUpMargin covers transmission times and one lost report.
+	// what it missed: one each for its own report, for that of another zone's leader, and for that of
+	// its own zone's leader. catchUpMargin covers transmission times and one lost report.
 	catchUpIntervals = 3
 	catchUpMargin    = 300 * time.Millisecond
 	// minCountedAdvantage is how much longer than this process another daemon must have counted for
-	// its usage to be adopted. Daemons that start together are about 0.3 s apart. When only a lead
+	// its usage to be adopted. Daemons that start together are about 0.3 s apart. When only a leader
 	// that had been running for 3 s longer was accepted, daemons that started 2.5 s after the only
 	// survivor used an outdated snapshot. A workspace whose demand had jumped then used up to 1.09
 	// of the bound in a simulated day, and 1.9 in TestOnlyDaemonLeftHasJustStarted.
--- a/internal/backend/limits_test.go
+++ b/internal/backend/limits_test.go
@@ -245,7 +245,7 @@
 	c.Check(picked(true, backoffEnd), qt.Equals, "a")
 }
 
-// BenchmarkMergeLimits merges a report of 64 limits. A lead daemon receives hundreds of such
+// BenchmarkMergeLimits merges a report of 64 limits. A leader receives hundreds of such
 // reports per second.
 func BenchmarkMergeLimits(b *testing.B) {
 	for _, servers := range []int{160, 2600} {
--- a/internal/duty/elector.go
+++ b/internal/duty/elector.go
@@ -54,7 +54,7 @@
 	// Rank returns this daemon's position among the reachable daemons, from zero.
 	Rank() int
 	// AllReachable reports whether every known daemon can be reached, directly or through the
-	// leads of the zones.
+	// leaders of the zones.
 	AllReachable() bool
 	// Zone returns this daemon's zone, whether the daemon aggregates the reports of the zone,
 	// and whether other daemons may not receive its reports.
@@ -92,12 +92,12 @@
 	Logger   *slog.Logger
 	// NotifyPeers reports a change of the holder to the peers at once.
 	NotifyPeers func()
-	// BuildSnapshot returns the memory to write with a renewal, which replaces the recorded one.
+	// BuildSnapshot returns the snapshot to write with a renewal, which replaces the recorded one.
 	BuildSnapshot func(recorded lease.Snapshot) lease.Snapshot
 	// Now is the clock of the lease. The default is a clock that advances while the VM is
 	// suspended.
 	Now func() time.Time
-	// OnSnapshot receives the memory of each record that is read.
+	// OnSnapshot receives the snapshot of each record that is read.
 	OnSnapshot func(lease.Snapshot)
 }
 
@@ -234,7 +234,7 @@
 	e.write(ctx, claim)
 }
 
-// LoadSnapshot returns the memory written by the last holder. It is empty where nobody has ever
+// LoadSnapshot returns the snapshot written by the last holder. It is empty where nobody has ever
 // held the lease.
 func (e *Elector) LoadSnapshot(ctx context.Context) (lease.Snapshot, error) {
 	record, err := e.fetchRecord(ctx)
--- a/internal/duty/exchange.go
+++ b/internal/duty/exchange.go
@@ -31,7 +31,7 @@
 	publishWindows = 3
 )
 
-// Exchange passes usage counts through the store: those of a daemon that no lead can reach, and
+// Exchange passes usage counts through the store: those of a daemon that no leader can reach, and
 // those of a zone that other zones cannot reach.
 type Exchange struct {
 	Self        string
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -48,7 +48,7 @@
 	// PredictedMS is the predicted time to the first event.
 	PredictedMS int64 `json:"wait_ms"`
 	// IdleWaitMS is the part of PredictedMS that the request would take on an idle server.
-	// Learned reports whether it is based on measurements of the engines.
+	// Calibrated reports whether it is based on measurements of the engines.
 	IdleWaitMS int64 `json:"own_ms"`
 	Calibrated bool  `json:"learned"`
 }
--- a/internal/forward/record.go
+++ b/internal/forward/record.go
@@ -18,8 +18,8 @@
 	AtMS   int64 `json:"at_ms"`
 	TookMS int64 `json:"took_ms"`
 	// WaitMS is the predicted time to the first event. IdleWaitMS is the part of it that the
-	// request would take on an idle server. Learned is set if the prediction is based on
-	// measurements of the engines. Unread is the number of prompt tokens that the server was
+	// request would take on an idle server. Calibrated is set if the prediction is based on
+	// measurements of the engines. PrefillTokens is the number of prompt tokens that the server was
 	// expected to process, and Running the number of requests that it was running.
 	WaitMS        int64 `json:"wait_ms"`
 	IdleWaitMS    int64 `json:"own_ms"`
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -49,7 +49,7 @@
 	DemandRates map[string]float64 `json:"asked"`
 	// Warmup is set if the holder had just started to count RecentUses.
 	Warmup bool `json:"warmup,omitempty"`
-	// EngineEstimates holds the learned performance figures of the engines, by service.
+	// EngineEstimates holds the learned performance estimates of the engines, by service.
 	EngineEstimates map[string]pace.EngineEstimates `json:"paces,omitempty"`
 	// FirstTryLimits holds the time limits of first tries, by route.
 	FirstTryLimits map[string]time.Duration `json:"limits,omitempty"`
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -229,7 +229,7 @@
 	return !r.blockedAt.IsZero() && now.Sub(r.blockedAt) < blockDuration && !r.recentlyAnswered(now)
 }
 
-// pruneInterval is the least time between two scans of all records, because a lead receives 275
+// pruneInterval is the least time between two scans of all records, because a leader receives 275
 // reports a second.
 const pruneInterval = time.Second
 
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -11,7 +11,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The simulations run whole deployments in steps of virtual time: daemons in zones, leads that
+// The simulations run whole deployments in steps of virtual time: daemons in zones, leaders that
 // forward reports between zones, and servers that exit under some requests.
 const (
 	simStep = 20 * time.Millisecond
@@ -217,7 +217,7 @@
 	}
 }
 
-// gossip exchanges reports between each daemon and the lead of its zone, and between leads. In
+// gossip exchanges reports between each daemon and the leader of its zone, and between leaders. In
 // each step only the daemons in one slot of the gossip interval take part.
 func (sim *simulation) gossip(now time.Time) {
 	settleDuration := 2*sim.gossipInterval + 100*time.Millisecond
@@ -248,7 +248,7 @@
 	}
 }
 
-// exchangeViaStore exchanges the reports of the leads through the store while a zone is cut
+// exchangeViaStore exchanges the reports of the leaders through the store while a zone is cut
 // off.
 func (sim *simulation) exchangeViaStore(now time.Time) {
 	for zone := range sim.zoneCount {
--- a/internal/quarantine/watch/watch.go
+++ b/internal/quarantine/watch/watch.go
@@ -12,7 +12,7 @@
 
 const (
 	// minNotifyInterval is the least time between two early reports about poison requests. Ten
-	// a second from each lead while many servers exit would be four times a lead's usual
+	// a second from each leader while many servers exit would be four times a leader's usual
 	// traffic.
 	minNotifyInterval = 200 * time.Millisecond
 	// settleMargin is added to two report intervals, after which the reports of all daemons
--- a/internal/rollup/compress.go
+++ b/internal/rollup/compress.go
@@ -9,7 +9,7 @@
 
 // MaxListedLoads is the number of servers whose loads are sent individually. The loads of a
 // deployment of 160 servers are sent in full. For 3,000 servers the message shrinks from 36 KB to
-// 2.5 KB; a lead sends it to each daemon of its zone 2.5 times a second (TestLoadsAreBounded).
+// 2.5 KB; a leader sends it to each daemon of its zone 2.5 times a second (TestLoadsAreBounded).
 const MaxListedLoads = 256
 
 // CompressLoads reduces the loads of all servers to those that differ most from the mean, and the
--- a/internal/rollup/compress_test.go
+++ b/internal/rollup/compress_test.go
@@ -59,7 +59,7 @@
 	c.Check(listed, qt.HasLen, 1)
 }
 
-// BenchmarkCompressLoads measures the work that a lead does twice per report interval: 1.4 ms of a
+// BenchmarkCompressLoads measures the work that a leader does twice per report interval: 1.4 ms of a
 // core for 3,000 servers, against 2.9 ms when each comparison looked up both servers.
 func BenchmarkCompressLoads(b *testing.B) {
 	loads, keys := testLoads(3000)
--- a/internal/rollup/rollup.go
+++ b/internal/rollup/rollup.go
@@ -17,7 +17,7 @@
 // and the delay of a slow link.
 const FreshFor = 1500 * time.Millisecond
 
-// leaderTimeout is how long after its last summary a zone's lead is kept before another lead of that
+// leaderTimeout is how long after its last summary a zone's leader is kept before another leader of that
 // zone is accepted: two reports of a large deployment and a margin.
 const leaderTimeout = time.Second
 
@@ -31,7 +31,7 @@
 	Loads map[uint32]backend.Load
 	// Demand is the demand for each service's engines.
 	Demand map[string]demand.Load
-	// EngineEstimates holds the measured figures of each service's engines.
+	// EngineEstimates holds the measured estimates of each service's engines.
 	EngineEstimates map[string]pace.EngineEstimates
 	// Versions holds the results of service versions that are being rolled out.
 	Versions rollout.Tallies
@@ -60,7 +60,7 @@
 	receivedAt time.Time
 }
 
-// zoneState is the last summary of another zone's lead.
+// zoneState is the last summary of another zone's leader.
 type zoneState struct {
 	latestReport
 	reach     Reach
@@ -130,7 +130,7 @@
 	a.members[r.VM] = &latestReport{process: key, counts: r.Counts, sequence: r.Sequence, receivedAt: now}
 }
 
-// Summary is the summary of another zone, sent by the zone's lead (its first relay).
+// Summary is the summary of another zone, sent by the zone's leader (its first relay).
 type Summary struct {
 	Zone        string
 	VM          string
@@ -141,9 +141,9 @@
 	Reach       Reach
 }
 
-// AddSummary adds the summary of another zone. It accepts one lead per zone until that lead is
-// silent for leaderTimeout or its daemon restarts. How much of a new lead's total was already counted
-// is unknown, so the spending between the two leads is estimated from the rate.
+// AddSummary adds the summary of another zone. It accepts one leader per zone until that leader is
+// silent for leaderTimeout or its daemon restarts. How much of a new leader's total was already counted
+// is unknown, so the spending between the two leaders is estimated from the rate.
 func (a *Aggregator) AddSummary(summary Summary, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -217,7 +217,7 @@
 	return sum
 }
 
-// Others returns the current loads, demand and engine figures of all daemons but this one.
+// Others returns the current loads, demand and engine estimates of all daemons but this one.
 func (a *Aggregator) Others(now time.Time) Counts {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -253,7 +253,7 @@
 	}
 }
 
-// Reach returns which daemons of other zones can be reached through their leads, and whether the
+// Reach returns which daemons of other zones can be reached through their leaders, and whether the
 // summaries of all known zones are fresh.
 func (a *Aggregator) Reach(now time.Time) (sum Reach, complete bool) {
 	a.mu.Lock()
--- a/internal/rollup/rollup_test.go
+++ b/internal/rollup/rollup_test.go
@@ -78,8 +78,8 @@
 	c.Check(s.All(later).Spent["w"], qt.Equals, 50.0)
 }
 
-// TestLeadChangeFillsGap guards against losing tokens when a zone's lead changes: the spending
-// between the two leads must be estimated, and a process that has just started must be counted in
+// TestLeadChangeFillsGap guards against losing tokens when a zone's leader changes: the spending
+// between the two leaders must be estimated, and a process that has just started must be counted in
 // full.
 func TestLeadChangeFillsGap(t *testing.T) {
 	c := qt.New(t)
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -67,7 +67,7 @@
 	return true
 }
 
-// logEngineEstimates logs the learned performance figures of the engines and the demand for them, on
+// logEngineEstimates logs the learned performance estimates of the engines and the demand for them, on
 // which predictions and orders of servers are based.
 func (s *state) logEngineEstimates() {
 	for service, figures := range s.view.EngineEstimates() {
--- a/internal/router/memory_test.go
+++ b/internal/router/memory_test.go
@@ -64,7 +64,7 @@
 }
 
 // TestSnapshotIsRestoredAfterRestart checks that a daemon that starts after all have stopped
-// restores the request counts of open windows and the learned engine figures.
+// restores the request counts of open windows and the learned engine estimates.
 func TestSnapshotIsRestoredAfterRestart(t *testing.T) {
 	c := qt.New(t)
 	before, after := newTestRouter(t).state, newTestRouter(t).state
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -43,7 +43,7 @@
 	idleTimeout = 75 * time.Second
 	// housekeepingInterval is the time between two runs of housekeep.
 	housekeepingInterval = time.Second
-	// engineLogInterval is the time between two log lines with the learned engine figures.
+	// engineLogInterval is the time between two log lines with the learned engine estimates.
 	engineLogInterval = 10 * time.Second
 	// unreadyDelay is how long the daemon continues to accept requests after it has reported itself
 	// as not ready. The load balancer checks once a second and removes the daemon after two failed
@@ -342,7 +342,7 @@
 func (r *Router) triggerReport() { r.node.TriggerReport() }
 
 // housekeep periodically updates the shares of shared limits, closes idle connections and logs
-// suspensions and engine figures.
+// suspensions and engine estimates.
 func (r *Router) housekeep(ctx context.Context) {
 	ticker := time.NewTicker(housekeepingInterval)
 	defer ticker.Stop()
