--- a/internal/backend/notice.go
+++ b/internal/backend/notice.go
@@ -4,9 +4,9 @@
 
 const (
 	// longPrefillShare is the prefill time, as a share of the request's target, above which other
-	// daemons are notified of the prompt at once. A request with the same target that queues behind
-	// it loses much of its time. The score over 4 seeds was 0.515 at a share of 0.05, 0.533 at
-	// 0.15, 0.538 at 0.3 and 0.532 without notices.
+	// daemons are notified of the prompt at once. Otherwise a request with the same target queues
+	// behind it and loses much of its time. A smaller share diverts requests from free servers, as
+	// the notice of a short prefill can still count after the prefill has ended.
 	longPrefillShare = 0.3
 	// noticeTTL is how long a notice counts. By then the load sums that include it have been
 	// received.
--- a/internal/capacity/planner.go
+++ b/internal/capacity/planner.go
@@ -17,8 +17,8 @@
 	exhaustedRetryDelay = 4 * time.Second
 	// scaleDownBootFactor is how long, in boot times, the demand for reclaimable servers must stay
 	// lower before they are scaled down. Demand fluctuates, a removed server loses its cache, and
-	// its replacement must boot before it can fill its cache again. Half of this factor (6 s at a
-	// boot time of 4 s) worsened the objective by 0.015, and twice the factor improved nothing.
+	// its replacement must boot before it can fill its cache again. A shorter delay removes
+	// servers that are soon wanted again, and a longer one keeps idle servers for no benefit.
 	// minScaleDownDelay and maxScaleDownDelay limit the delay.
 	scaleDownBootFactor = 3
 	minScaleDownDelay   = 6 * time.Second
@@ -34,8 +34,8 @@
 	// two heartbeats (1.2 s).
 	discoveryPeriod = 3 * time.Second
 	// initialFleetShare is the share of the initial fleet that is kept until the demand is known.
-	// In a simulated large deployment, half of the initial servers would run at a utilization of
-	// 0.4.
+	// Part of a large fleet may suffice, but a server that is removed too early must be replaced by
+	// one that has to boot and fill its cache first.
 	initialFleetShare = 1.0
 	// unansweredRetryDelay is the delay after which an order without a reply is repeated.
 	unansweredRetryDelay = 1500 * time.Millisecond
@@ -253,8 +253,8 @@
 }
 
 // longBootTime is the boot time from which on-demand servers are kept until their replacements have
-// booted. A gap of 4 s costs less than keeping the servers, which worsened the objective by 0.001
-// and 0.009 in two deployments. A gap of 20 s lost a third of the requests in simulation.
+// booted. A gap of 4 s costs less than paying for both the on-demand servers and their
+// replacements. A gap of 20 s can lose a third of the requests.
 const longBootTime = 8 * time.Second
 
 // onDemandUntilReplaced returns the number of on-demand servers to keep in a zone while the
--- a/internal/duty/elector.go
+++ b/internal/duty/elector.go
@@ -65,11 +65,11 @@
 	// leaseTick is the time between two checks of the lease.
 	leaseTick = 100 * time.Millisecond
 	// renewInterval is the time between renewals. Each renewal also writes the state from which
-	// daemons start when no other is left. With a second between renewals, a workspace that
-	// began to ask for four times its allowance about a second before got up to 1.13 of what
-	// the rule allows; with half a second, 1.06 (histories of 300 daemons, offsets of 0.2 to
-	// 2.2 s). One more renewal a second costs 0.001 of the value of a calm day, by the price of
-	// its calls.
+	// daemons start when no other is left. An older state misses recent requests: a
+	// workspace that began to ask for four times its allowance about a second before can get
+	// 1.13 of what the rule allows with a second between renewals, and 1.06 with half a
+	// second. A shorter interval costs more, as each renewal makes calls to the store that are
+	// paid for.
 	renewInterval = 500 * time.Millisecond
 	// renewRetryInterval is the time between attempts at a renewal that fails.
 	renewRetryInterval = 300 * time.Millisecond
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -21,11 +21,11 @@
 	// its exits. A service that keeps losing servers loses three under the same request by
 	// chance.
 	minConsecutiveExitsAmbiguous = 4
-	// minExclusiveExits is the number of exits that no other request explains. With 3, the
-	// second of two poison requests was blocked after up to five more servers in simulations of
-	// both at once (20 seeds, 8 daemons). With 2, one of five poison requests at once reached
-	// servers three or more times too late in 18 of 1,000 simulations, with 1 in 10 of 1,465 (8
-	// daemons, 9 servers).
+	// minExclusiveExits is the number of exits that no other request explains. Poison
+	// requests that are sent at the same time share servers and explain each other's exits, so
+	// that a higher minimum blocks them too late. With 3, the second of two such requests can
+	// reach up to five more servers, and with 2, one of five can still reach servers three or
+	// more times too late.
 	minExclusiveExits = 1
 	// answerTrustDuration is how long a complete answer marks a request as harmless. A request
 	// that many callers send is answered more often than that.
